--- a/src/runs/run_messages.h
+++ b/src/runs/run_messages.h
@@ -1,5 +1,4 @@
-// What the owner of a job and the home of a group of upstreams tell each
-// other.
+// Messages between the owner of a job and the home of a group of upstreams.
 
 #ifndef SRC_RUNS_RUN_MESSAGES_H_
 #define SRC_RUNS_RUN_MESSAGES_H_
@@ -15,7 +14,7 @@
 
 namespace jasminedyke {
 
-// One group of a failure domain's upstreams, with one home at a time.
+// One group of a failure domain's upstreams; it has one home at a time.
 struct home_group {
   failure_domain_id domain;
   uint32_t number = 0;
@@ -26,54 +25,59 @@
   auto operator<=>(const home_group&) const = default;
 };
 
+// A task that the home is to run, and what it requires.
 struct task_demand {
   task_position position;
   resource_amount need;
-  // The caller's guess of the run time, often far off.
+  // The caller's estimate of the run time, often inaccurate.
   duration estimate = duration::zero();
-  // The rack of its data; empty if it has none.
+  // The rack that holds the task's data; empty if there is none.
   rack_id rack;
-  // Of the upstream; empty: any.
+  // A label that the upstream must have; empty if any upstream will do.
   std::string required_label;
-  // At most so many tasks of its step on one upstream; 0: any number.
+  // The maximum number of tasks of this step on one upstream; 0 if unlimited.
   int max_per_upstream = 0;
-  // Has been asked of a home before: it may be running, or have ended.
+  // True if the task was sent to a home before: it may be running or have
+  // ended.
   bool maybe_started = false;
 
   bool operator==(const task_demand&) const = default;
 };
 
-// Times are durations from the sending, as clocks differ between instances.
+// A request to run tasks of a job. Times are relative to the moment of sending,
+// as clocks differ between instances.
 struct run_request {
   job_key job;
   submission_id submission;
   queue_id queue;
   service_id service;
   std::string spec;
-  // Until the job's objective, below zero once it is missed; until the caller
-  // leaves; and how long the caller has waited already.
+  // The time until the job's objective; negative once it is missed.
   duration to_objective = duration::zero();
+  // The time until the caller stops waiting.
   duration to_limit = duration::zero();
+  // How long the caller has waited already.
   duration age = duration::zero();
   int max_attempts = 1;
-  // Of the queue; 0 goes first.
+  // The queue's priority; 0 is the highest.
   int priority = 0;
-  // Another group seems to have places for all its tasks: the job is to be
-  // handed back at once rather than wait here.
+  // True if another group seems to have room for all tasks: the home then hands
+  // the job back at once if the job would have to wait there.
   bool may_pass = false;
-  // A home that refused it for load has told when it expects room for it.
+  // True if a home that refused the job because of overload has announced when
+  // it expects to have room for it.
   bool has_place = false;
-  // Counts the owner's requests for this job.
+  // The number of this request among the owner's requests for this job.
   uint32_t sending = 0;
-  // The owner kept the specification, of so many bytes, and sends the starts
-  // itself; `spec` is empty then.
+  // The size of the specification if the owner kept it and sends the starts
+  // itself; `spec` is then empty.
   std::optional<uint32_t> kept_spec_bytes;
   std::vector<task_demand> tasks;
 
   bool operator==(const run_request&) const = default;
 };
 
-// The job's owner has no use for it any more.
+// Tells the home that the job's owner no longer needs the job.
 struct run_cancel {
   job_key job;
   submission_id submission;
@@ -83,7 +87,7 @@
 
 enum class task_verdict {
   kDone,
-  kFailed,  // for good: as often as allowed
+  kFailed,  // all allowed attempts failed
 };
 
 struct task_report {
@@ -95,62 +99,63 @@
 
 enum class run_refusal {
   kNone,
-  kOverload,       // it would not end within its caller's limit
-  kNoUpstream,     // no upstream of this group can run it now
-  kNotHome,        // the receiver is no home, or no longer
+  kOverload,       // the job would not end within its caller's limit
+  kNoUpstream,     // no upstream of this group can run the job now
+  kNotHome,        // the receiver is not, or no longer, a home
   kSuperseded,     // the job was submitted again through another instance
-  kBusy,           // no places now, and the job may go to another group
+  kBusy,           // no room now, and the job may go to another group
   kDrained,        // operators drained the group's failure domain
-  kUpstreamsLost,  // upstreams were lost under a task of it, again and again
-  kNotAccepted,    // upstreams refuse the orders of a task as malformed
+  kUpstreamsLost,  // upstreams were lost repeatedly while running a task
+  kNotAccepted,    // upstreams reject the orders of a task as malformed
 };
 
-// Ends of tasks; or a refusal, which holds for the whole job here.
+// Reports ended tasks, or a refusal that applies to the whole job at this home.
 struct run_report {
   job_key job;
   submission_id submission;
   std::vector<task_report> tasks;
   run_refusal refusal = run_refusal::kNone;
-  // With a refusal: of the request that is refused.
+  // With a refusal: the number of the refused request.
   uint32_t sending = 0;
-  // With a refusal: no task of the job was started or can still start here.
+  // With a refusal: no task of the job was started here or can still start.
   bool not_run = false;
-  // With a refusal: when it is worth trying again.
+  // With a refusal: how long to wait before trying again.
   duration retry_after = duration::zero();
 
   bool operator==(const run_report&) const = default;
 };
 
-// Sent by each home to all entry instances, at intervals and when it begins or
-// ends to be home.
+// Sent by each home to all entry instances, periodically and when it becomes or
+// stops being the home.
 struct home_status {
   home_group group;
-  // Of two that claim one group, the higher token is right.
+  // If two instances claim the same group, the higher token wins.
   fencing_token token;
-  // False: the sender has stopped being this group's home.
+  // False if the sender has stopped being this group's home.
   bool serving = true;
-  // The sender asks a stronger instance to take over, and serves until then.
+  // True if the sender asks a stronger instance to take over, and serves until
+  // it does.
   bool yielding = false;
-  // All upstreams of the group are known: what was asked of an earlier home
-  // runs, has ended, or never will.
+  // True if all upstreams of the group are known: every task that was sent to
+  // an earlier home is running, has ended, or will never start.
   bool settled = false;
-  // Owners are to keep their jobs' specifications and send the starts.
+  // True if owners are to keep their jobs' specifications and send the starts.
   bool owners_start = false;
   int64_t free_cpu_millis = 0;
   int64_t total_cpu_millis = 0;
-  // How long a task that comes now would wait for room.
+  // How long a task that arrives now would wait for room.
   duration wait = duration::zero();
 
   bool operator==(const home_status&) const = default;
 };
 
-// The home of a job asks the job's owner to send a start.
+// A request from a job's home to the job's owner to send a start.
 struct delegated_start {
-  // Of the home's; comes back with the result.
+  // Assigned by the home and returned with the result.
   uint64_t number = 0;
   submission_id submission;
   upstream_id upstream;
-  // Without the specification.
+  // The order, without the specification.
   run_order order;
 
   bool operator==(const delegated_start&) const = default;
--- a/src/runs/run_types.h
+++ b/src/runs/run_types.h
@@ -1,5 +1,5 @@
-// The words of running tasks on upstreams under a lease: tasks, runs, what
-// they need, and how they end.
+// Types that describe tasks, their runs on upstreams under a lease, the
+// resources they need, and how they end.
 
 #ifndef SRC_RUNS_RUN_TYPES_H_
 #define SRC_RUNS_RUN_TYPES_H_
@@ -17,31 +17,32 @@
 using service_id = text_id<struct service_tag>;
 using rack_id = text_id<struct rack_tag>;
 
-// When an incarnation of an upstream started, in milliseconds since 1970 by its
-// own word; 0 if it does not tell. Two incarnations under one id differ in it.
+// When an incarnation of an upstream started, in milliseconds since 1970 as
+// reported by the upstream; 0 if it reports none. Two incarnations with the
+// same id have different values.
 using upstream_birth = number_id<struct upstream_birth_tag>;
 
-// Counts the starts of one task, from 1. An upstream refuses a number that is
-// not higher than one that it has ended.
+// Numbers the starts of one task, from 1. An upstream refuses a start unless
+// its number is higher than that of every run of the task that has ended there.
 using run_number = number_id<struct run_number_tag>;
-// Rises with each change of an upstream's owner. An upstream does nothing for
-// a lower token than the highest that it has seen.
+// Increases with each change of an upstream's owner. An upstream rejects
+// requests whose token is lower than the highest that it has seen.
 using fencing_token = number_id<struct fencing_token_tag>;
 
-// Tells two submissions of one job key apart: a caller may send a job again
-// to another instance while the first instance still knows it.
+// Distinguishes submissions with the same job key: a caller may submit a job
+// again to another instance while the first instance still tracks it.
 using submission_id = number_id<struct submission_tag>;
 
-// A time on one upstream's own steady clock; means nothing elsewhere.
+// A time on one upstream's own steady clock; not comparable with other clocks.
 struct upstream_time {
   int64_t ms = 0;
 
   auto operator<=>(const upstream_time&) const = default;
 };
 
-// What a task occupies while it runs, and what an upstream has in all.
+// The resources that a task occupies while it runs, or an upstream's capacity.
 struct resource_amount {
-  // Thousandths of a core.
+  // In thousandths of a core.
   int64_t cpu_millis = 0;
   int64_t memory_mb = 0;
   int64_t accelerators = 0;
@@ -69,10 +70,10 @@
   auto operator<=>(const resource_amount&) const = default;
 };
 
-// Of each kind.
+// Returns the larger amount of each resource.
 resource_amount MaximumOf(const resource_amount& a, const resource_amount& b);
 
-// One task within its job.
+// The position of a task within its job.
 struct task_position {
   uint32_t step = 0;
   uint32_t index = 0;
@@ -82,7 +83,7 @@
 
 struct task_name {
   job_key job;
-  // Which repetition of a repeated job; 0 for others.
+  // The repetition of a repeated job; 0 for other jobs.
   uint32_t occurrence = 0;
   task_position position;
 
@@ -91,26 +92,26 @@
 
 enum class run_end {
   kDone,
-  kFailed,   // by its own fault or the upstream's
-  kStopped,  // on our order
-  kLapsed,   // the lease ran out
+  kFailed,   // the task or the upstream failed
+  kStopped,  // stopped at the home's request
+  kLapsed,   // the lease expired
   kBroken,   // another member of its group ended
-  kAlone,    // it waited too long for the others of its group
+  kAlone,    // timed out waiting for the other members of its group
 };
 
-// A run that an upstream lists as running.
+// A run that an upstream reports as running.
 struct listed_run {
   task_name task;
   run_number run;
-  // How much of the work is done; nothing if the upstream does not say.
+  // Progress in percent; empty if the upstream does not report it.
   std::optional<int> percent;
 
   bool operator==(const listed_run&) const = default;
 };
 
-// An end that an upstream lists until it is acknowledged.
+// The end of a run, which the upstream reports until it is acknowledged.
 struct listed_end {
-  // Rises by one with each end of the upstream's incarnation.
+  // Incremented for each run that ends during the upstream's incarnation.
   uint64_t sequence = 0;
   task_name task;
   run_number run;
@@ -119,7 +120,7 @@
   bool operator==(const listed_end&) const = default;
 };
 
-// One life of an upstream.
+// One incarnation of an upstream, from its start to its end.
 struct upstream_incarnation {
   upstream_id id;
   upstream_birth birth;
@@ -127,18 +128,18 @@
   auto operator<=>(const upstream_incarnation&) const = default;
 };
 
-// A run on an upstream that was lost.
+// A run that was on an upstream when the upstream was lost.
 struct lost_run {
   task_name task;
-  // The upstream confirmed or listed it. Otherwise the order may never have
-  // been carried out.
+  // True if the upstream confirmed or listed the run; otherwise the order may
+  // never have been carried out.
   bool begun = false;
 
   bool operator==(const lost_run&) const = default;
 };
 
-// An upstream crashed (`crashed`), or was out of reach for longer than its
-// lease.
+// The loss of an upstream that crashed (`crashed`) or was unreachable for
+// longer than its lease.
 struct upstream_loss {
   upstream_incarnation upstream;
   bool crashed = false;
--- a/src/runs/runs.h
+++ b/src/runs/runs.h
@@ -1,5 +1,6 @@
-// Public header of the runs library: tasks that run on upstreams under
-// leases, from a job's owner through a group's home to an upstream.
+// Public header of the runs library, which runs tasks on upstreams under
+// leases: a job's owner sends them to a group's home, and the home to an
+// upstream.
 
 #ifndef SRC_RUNS_RUNS_H_
 #define SRC_RUNS_RUNS_H_
