--- a/src/runs/domain_drains.h
+++ b/src/runs/domain_drains.h
@@ -1,5 +1,5 @@
-// Which failure domains operators have drained: their upstreams get nothing
-// new until they are taken back.
+// Tracks which failure domains operators have drained: their upstreams get no
+// new tasks until the drain is revoked.
 
 #ifndef SRC_RUNS_DOMAIN_DRAINS_H_
 #define SRC_RUNS_DOMAIN_DRAINS_H_
@@ -11,7 +11,7 @@
 
 namespace jasminedyke {
 
-// Counts the store's transactions.
+// Increases with each transaction of the store.
 using store_version = number_id<struct store_version_tag>;
 
 // All drained failure domains as of one version of the store.
@@ -23,18 +23,18 @@
 };
 
 enum class domain_state {
-  kUnknown,  // nobody has told yet what operators want
+  kUnknown,  // no state has been received yet
   kServing,
   kDrained,
 };
 
-// The newest state that was heard, from the store or a peer. States are ordered
-// by the store's version and not by their arrival: a peer that was cut off
-// tells of a drain that is over, or does not know of a second one that followed
-// a first.
+// The newest state received from the store or a peer. States are ordered by the
+// store's version and not by their arrival: a peer that was cut off may report
+// a drain that is over, or miss a second drain that followed a first.
 class domain_drains {
  public:
-  // True if other domains are drained now, or any state is known at last.
+  // Adopts `heard` if it is newer than the known state. Returns true if the set
+  // of drained domains changed or the first state became known.
   bool Take(const drained_domains& heard);
 
   bool known() const { return newest_.as_of.value() > 0; }
--- a/tests/domain_drains/domain_drains_test.cc
+++ b/tests/domain_drains/domain_drains_test.cc
@@ -1,4 +1,4 @@
-// Failure domains that operators drain, on whole instances.
+// Tests drains of failure domains with complete instances.
 
 #include <string>
 #include <vector>
@@ -17,8 +17,8 @@
 const failure_domain_id kSouth("south");
 constexpr duration kFinishTime = milliseconds(500);
 
-// Two failure domains with two instances and four upstreams each, on which two
-// of the tests' tasks fit.
+// Two failure domains with two instances and four upstreams each. Two of the
+// tests' tasks fit on an upstream.
 struct two_domains : run_nodes {
   explicit two_domains(duration run_time = milliseconds(50)) {
     home_settings.finish_time = kFinishTime;
@@ -60,7 +60,7 @@
     return starts;
   }
 
-  // Jobs of two tasks through all instances, one each 10 ms.
+  // Submits jobs of two tasks through all instances, one every 10 ms.
   void SubmitMany(int jobs) {
     for (int i = 0; i < jobs; ++i) {
       auto live = Live();
@@ -69,6 +69,7 @@
     }
   }
 
+  // Returns the only answer to a job.
   run_answer Only(const std::string& key) {
     REQUIRE(answers[key].size() == 1);
     return answers[key][0];
@@ -95,7 +96,7 @@
   CHECK(d.At("north-1").cluster->ready());
 }
 
-TEST_CASE("drain: it serves again at once when it is taken back") {
+TEST_CASE("drain: a domain serves at once when its drain is revoked") {
   two_domains d;
   d.Drain({kNorth});
   d.Run(milliseconds(100));
@@ -108,9 +109,9 @@
   CHECK(d.StartsIn("north") == before + 2);
 }
 
-TEST_CASE("drain: what has begun is finished, what has not goes elsewhere") {
-  // Eight tasks fill the domain. A job has begun six of its ten, another one
-  // waits behind it when the drain comes.
+TEST_CASE("drain: begun jobs are finished, others go elsewhere") {
+  // Eight tasks fill the domain. When the drain arrives, a job has begun six of
+  // its ten tasks, and another job waits behind it.
   two_domains d(milliseconds(200));
   d.Submit(d.At("north-1"), "first", 2, milliseconds(1500));
   d.Run(milliseconds(10));
@@ -138,9 +139,9 @@
 }
 
 TEST_CASE("drain: nothing starts after the time to finish") {
-  // A job's tasks fail again and again from before the drain on. The time to
-  // finish is over in the middle of its attempts; then its caller gets an
-  // answer at once, which doesn't claim that nothing ran.
+  // A job's task fails repeatedly, beginning before the drain, and the time to
+  // finish ends amid its attempts. The caller then gets an answer at once that
+  // doesn't claim that nothing ran.
   two_domains d;
   for (auto& [id, upstream] : d.fleet.upstreams) {
     upstream->plan = [](const task_name&) {
@@ -171,8 +172,8 @@
 }
 
 TEST_CASE("drain: all homes of the domain are lost while the store is silent") {
-  // The drain is known everywhere, then the store falls silent and both
-  // instances of the domain lose power. They come back with nothing.
+  // All instances know of the drain. Then the store becomes unreachable, and
+  // both instances of the domain lose power and restart without any state.
   two_domains d;
   d.Drain({kNorth});
   d.Run(milliseconds(50));
@@ -193,9 +194,9 @@
   CHECK(d.At("north-1").cluster->drained().domains == std::set{kNorth});
 }
 
-TEST_CASE("drain: a home that begins without the store has heard of it") {
-  // The home loses power while the store is silent; the other instance of the
-  // domain, which had restarted during the drain, goes on in its place.
+TEST_CASE("drain: a home that begins without the store knows of it") {
+  // The home loses power while the store is unreachable. The domain's other
+  // instance, which had restarted during the drain, replaces it.
   two_domains d;
   d.Drain({kNorth});
   run_node& second = d.At("north-2");
@@ -212,9 +213,9 @@
   CHECK(d.StartsIn("north") == before);
 }
 
-TEST_CASE("drain: a home that nobody has told starts nothing") {
-  // An instance starts alone, behind cuts to all peers, and can write the
-  // homes' row; the operators' rows have not come yet.
+TEST_CASE("drain: a home that knows of no drain state starts nothing") {
+  // An instance starts without links to its peers. It can write the homes' row,
+  // but has not received the operators' rows yet.
   two_domains d;
   d.Drain({kNorth});
   d.linked_from_start = false;
@@ -244,9 +245,9 @@
   }
 }
 
-TEST_CASE("drain: a second one right after a first is not taken for it") {
-  // One instance hears of the drain, misses its end and its return, and is told
-  // of the end by a peer that is behind.
+TEST_CASE("drain: a second drain is not mistaken for the first") {
+  // An outdated peer reports the end of the first drain after the second drain
+  // has begun. Guards against ordering states by their arrival.
   two_domains d;
   run_node& north = d.At("north-1");
   d.Drain({kNorth});
@@ -263,7 +264,7 @@
   CHECK(d.StartsIn("north") == before);
 }
 
-TEST_CASE("drain: an old word of a peer that was cut off gets the newer one") {
+TEST_CASE("drain: a peer that was cut off gets the newer state") {
   two_domains d;
   run_node& north = d.At("north-2");
   for (run_node* other : d.Live()) {
@@ -279,9 +280,9 @@
   CHECK(north.cluster->drained().domains == std::set{kNorth});
 }
 
-TEST_CASE("drain: runs go on under a drain, also over a change of homes") {
-  // The home dies amid a job's runs in the drained domain. Its successor claims
-  // them and starts nothing.
+TEST_CASE("drain: runs continue under a drain and a change of homes") {
+  // The home of the drained domain is killed during a job's runs. Its successor
+  // adopts them and starts nothing.
   two_domains d(milliseconds(700));
   d.Submit(d.At("north-2"), "job", 6);
   d.Run(milliseconds(50));
@@ -295,7 +296,7 @@
   CHECK(d.StartsIn("north") + d.StartsIn("south") == before);
 }
 
-TEST_CASE("drain: owners on thin links send no start into a drained domain") {
+TEST_CASE("drain: owners on slow links send no start to a drained domain") {
   two_domains d;
   d.home_settings.link_bytes_per_second = 1;
   for (const char* name : {"north-1", "north-2", "south-1", "south-2"}) {
@@ -314,10 +315,10 @@
   CHECK(d.StartsIn("north") == before);
 }
 
-TEST_CASE("drain: the drained domain's home is the first after a power loss") {
-  // All instances lose power. The drained domain's home begins first; a caller
-  // who comes then is served by the other domain, whose home begins a moment
-  // later, and is not told that all is drained.
+TEST_CASE("drain: a drained domain's home begins first after a power loss") {
+  // After a power loss of all instances, the drained domain's home begins
+  // first. Guards against telling a caller that arrives then that all domains
+  // are drained: the other domain's home begins a moment later and serves it.
   two_domains d;
   d.Drain({kNorth});
   d.Run(milliseconds(50));
