--- a/src/runs/placement.cc
+++ b/src/runs/placement.cc
@@ -7,18 +7,19 @@
 
 namespace {
 
-// Of the logarithm of the speed.
-constexpr double kClassWidth = 0.2;
-// A class with more of its room free than this has some for whatever may come.
-constexpr double kSpareShare = 0.3;
-// Most of it idles, so that it costs nobody a place to run what is late.
-constexpr double kIdleShare = 0.5;
+// Width of a speed class in the natural logarithm of the speed.
+constexpr double kClassLogWidth = 0.2;
+// Above this free share, a class has room to spare for tasks that arrive later.
+constexpr double kSpareFreeShare = 0.3;
+// Above this free share, a class is mostly idle, so that late tasks may run
+// there without taking room from other tasks.
+constexpr double kIdleFreeShare = 0.5;
 
-// Smaller is better.
+// Orders candidates by speed; the smallest is best.
 struct speed_cost {
-  // 0 while the class has room to spare, 1 if it is in time or nothing is, 2 if
-  // others are.
-  int group = 0;
+  // 0 if the class has room to spare; 1 if it has not, but is fast enough or no
+  // class is; 2 if it is too slow and others are fast enough.
+  int tier = 0;
   int order = 0;
 
   auto operator<=>(const speed_cost&) const = default;
@@ -28,12 +29,12 @@
                           double least_speed) {
   int speed_class = candidate.speed_class;
   if (std::isinf(least_speed))
-    return candidate.free_share > kIdleShare ? speed_cost{0, -speed_class}
-                                             : speed_cost{1, speed_class};
-  bool in_time = SpeedOf(speed_class) >= least_speed;
+    return candidate.free_share > kIdleFreeShare ? speed_cost{0, -speed_class}
+                                                 : speed_cost{1, speed_class};
+  bool in_time = SpeedOfClass(speed_class) >= least_speed;
   if (!in_time)
     return {2, -speed_class};
-  if (candidate.free_share > kSpareShare)
+  if (candidate.free_share > kSpareFreeShare)
     return {0, -speed_class};
   return {1, speed_class};
 }
@@ -55,11 +56,11 @@
 }  // namespace
 
 int SpeedClass(double speed) {
-  return static_cast<int>(std::lround(std::log(speed) / kClassWidth));
+  return static_cast<int>(std::lround(std::log(speed) / kClassLogWidth));
 }
 
-double SpeedOf(int speed_class) {
-  return std::exp(speed_class * kClassWidth);
+double SpeedOfClass(int speed_class) {
+  return std::exp(speed_class * kClassLogWidth);
 }
 
 std::optional<size_t> ChooseUpstream(
--- a/src/runs/placement.h
+++ b/src/runs/placement.h
@@ -1,4 +1,4 @@
-// On which upstream a task starts.
+// Chooses the upstream on which a task starts.
 
 #ifndef SRC_RUNS_PLACEMENT_H_
 #define SRC_RUNS_PLACEMENT_H_
@@ -11,42 +11,45 @@
 
 namespace jasminedyke {
 
-// Speeds of one class count as alike. 0 is the usual one; others are rounded
-// logarithms of the speed, so that higher is faster.
+// Returns the class of a speed; speeds of one class are treated as equal.
+// Classes are rounded logarithms of the speed: 0 is normal speed, higher is
+// faster.
 int SpeedClass(double speed);
-// About the middle of the class.
-double SpeedOf(int speed_class);
+// Returns a speed near the middle of the class.
+double SpeedOfClass(int speed_class);
 
 // An upstream that may run the task.
 struct placement_candidate {
   resource_amount room;
-  // How much longer the task takes there than at best, 1 or more.
+  // The task's run time there relative to the best placement; at least 1.
   double slowness = 1;
   int speed_class = 0;
-  // Of all room of upstreams of this class, the share that is free.
+  // The free share of the capacity of all upstreams of this speed class.
   double free_share = 0;
 };
 
+// What a task requires of its upstream.
 struct placement_need {
   resource_amount room;
-  // So that the job ends in time; infinite if it can't any more.
+  // The lowest speed at which the job ends in time; infinite if it no longer
+  // can.
   double least_speed = 0;
 };
 
-// Which of two upstreams that are equally near to the task's data is better.
+// Ranks upstreams that are equally near to the task's data.
 enum class placement_rule {
-  // Speeds don't matter.
+  // Ignores speeds.
   kBestFit,
   kFastest,
-  // The slowest that is in time. Short tasks and those with slack leave fast
-  // upstreams to long ones. While a class has much free room, tasks go to the
-  // fastest such class: what idles helps nobody.
+  // Prefers the slowest upstream that is fast enough, so that short tasks and
+  // those with slack leave fast upstreams to long ones. While classes have much
+  // free room, tasks go to the fastest of those, so that they don't sit idle.
   kLeastSlack,
 };
 
-// The index of the upstream to take, nothing if the task fits on none: of the
-// best ones by `rule` the one that is left with the least processor room (best
-// fit), as large rooms are needed for large tasks.
+// Returns the index of the upstream to use, or nothing if the task fits on
+// none. Among those that `rule` ranks best, takes the one with the least CPU
+// left over (best fit), to keep large rooms free for large tasks.
 std::optional<size_t> ChooseUpstream(
     const std::vector<placement_candidate>& candidates,
     const placement_need& need,
--- a/src/runs/task_placer.h
+++ b/src/runs/task_placer.h
@@ -1,9 +1,9 @@
-// Where a home's waiting tasks find room, during one dispatch.
+// Assigns a home's waiting tasks to upstreams during one dispatch.
 //
-// Answers the pattern of short and long tasks on upstreams of which the
-// slowest make the long ones late: the last task of a job decides when it is
-// answered, so all of them go where the job still ends in time, and one that
-// would not waits for a faster upstream while that can help.
+// Made for mixes of short and long tasks on upstreams of different speeds,
+// where the slowest upstreams make long tasks late. A job is answered when its
+// last task ends, so all its tasks go where the job still ends in time. A task
+// that would end late waits for a faster upstream while that can help.
 
 #ifndef SRC_RUNS_TASK_PLACER_H_
 #define SRC_RUNS_TASK_PLACER_H_
@@ -20,14 +20,15 @@
 
 namespace jasminedyke {
 
-// The upstream runs what the task belongs to, has the label that it requires,
-// and not too many tasks of its step.
+// Returns true if the upstream belongs to the job's service, has the label that
+// the task requires, and runs fewer tasks of its step than allowed.
 bool MayRun(const upstream_session& session,
             const home_job& job,
             const home_task& task);
 
-// One look at the upstreams serves all jobs of a dispatch: a home with hundreds
-// of upstreams can't look at each of them anew for each waiting task.
+// Places tasks by a snapshot of the upstreams that serves all jobs of a
+// dispatch: a home with hundreds of upstreams can't inspect each of them again
+// for each waiting task.
 class task_placer {
  public:
   task_placer(scheduler& clock,
@@ -35,18 +36,18 @@
               placement_rule rule = placement_rule::kLeastSlack)
       : clock_(clock), upstreams_(upstreams), rule_(rule) {}
 
-  // Looks at all upstreams anew.
+  // Takes a new snapshot of all upstreams.
   void Refresh();
 
-  // True if all tasks of the job could be placed at once, and none would rather
-  // wait for a faster upstream.
+  // Returns true if all tasks of the job could be placed at once and none would
+  // have to wait for a faster upstream.
   bool HasPlacesFor(const home_job& job) const;
 
-  // The upstream to start the task on, whose room it takes; null if there is
-  // none now.
+  // Returns the upstream to start the task on and reserves its room; null if no
+  // upstream is suitable now.
   upstream_session* Place(const home_job& job, const home_task& task);
-  // The same for a task that is to run beside nothing else: all room of an
-  // upstream that is idle.
+  // Like `Place`, but reserves all room of an idle upstream, for a task that
+  // must not share it.
   upstream_session* PlaceAlone(const home_job& job, const home_task& task);
 
  private:
@@ -54,16 +55,16 @@
     upstream_session* session = nullptr;
     int speed_class = 0;
   };
-  // An upstream that can be given tasks, with room for some.
-  struct open_upstream {
+  // A usable upstream with free room.
+  struct available_upstream {
     upstream_session* session = nullptr;
     resource_amount room;
-    // Else it gets a single trial at most.
+    // If false, the upstream gets at most a single trial task.
     bool good = true;
     int speed_class = 0;
   };
-  // All good upstreams of one speed class.
-  struct class_room {
+  // The total capacity of all good upstreams of one speed class.
+  struct class_capacity {
     int64_t free_cpu_millis = 0;
     int64_t total_cpu_millis = 0;
 
@@ -71,34 +72,40 @@
   };
 
   void ListUpstreams();
-  bool MayTry(const open_upstream& open);
-  bool PaysOffRack(const home_job& job, const home_task& task) const;
-  // The objective, or what the job's runs lead to if that is later.
-  time_point WantedEnd(const home_job& job) const;
-  // For the task to be done by `end`; infinite if no upstream is fast enough.
+  bool MayTry(const available_upstream& open);
+  // Returns true if the task should run outside its data's rack now: it
+  // ends in time there, or would be late even near its data.
+  bool MayRunOffRack(const home_job& job, const home_task& task) const;
+  // Returns the objective, or the expected end of the job's current runs if
+  // that is later.
+  time_point TargetEnd(const home_job& job) const;
+  // Returns the lowest speed at which the task is done by `end`; infinite if no
+  // upstream is fast enough.
   double LeastSpeed(const home_job& job,
                     const home_task& task,
                     time_point end) const;
-  // A faster upstream that is busy now may still make the job's end in time.
+  // Returns true if the task should wait, as a faster upstream that is busy now
+  // may still let the job end in time.
   bool WaitsForFaster(const home_task& task,
                       int speed_class,
                       double least_speed) const;
-  void Take(open_upstream& open, const resource_amount& need);
+  void Take(available_upstream& open, const resource_amount& need);
 
   scheduler& clock_;
   home_upstreams& upstreams_;
   placement_rule rule_;
-  // All, by id; right while `home_upstreams::changes` is `listed_`.
-  std::vector<listed_upstream> upstreams_listed_;
-  std::optional<uint64_t> listed_;
-  std::map<int, class_room> classes_;
-  // By id.
-  std::vector<open_upstream> open_;
-  // No task that needs more can be placed.
-  int64_t largest_cpu_ = 0;
-  // The job that was placed last, and its `WantedEnd`; of this look only.
-  const home_job* judged_ = nullptr;
-  time_point judged_end_;
+  // All upstreams, ordered by id; up to date while `home_upstreams::changes`
+  // equals `listed_version_`.
+  std::vector<listed_upstream> listed_upstreams_;
+  std::optional<uint64_t> listed_version_;
+  std::map<int, class_capacity> classes_;
+  // Upstreams that can take tasks, ordered by id.
+  std::vector<available_upstream> available_;
+  // The largest free CPU amount; no task that needs more can be placed.
+  int64_t largest_free_cpu_millis_ = 0;
+  // The job that was placed last since `Refresh`, and its `TargetEnd`.
+  const home_job* last_job_ = nullptr;
+  time_point last_job_end_;
 };
 
 }  // namespace jasminedyke
--- a/tests/placement/placement_test.cc
+++ b/tests/placement/placement_test.cc
@@ -1,4 +1,4 @@
-// Which of several upstreams a task takes.
+// Tests which upstream is chosen for a task.
 
 #include <limits>
 #include <vector>
@@ -31,23 +31,23 @@
 
 }  // namespace
 
-TEST_CASE("placement: the slowest that is in time while room is scarce") {
+TEST_CASE("placement: the slowest upstream that is in time if room is scarce") {
   CHECK(LeastSlack(ThreeSpeeds(0.1), 0.4) == 2);
   CHECK(LeastSlack(ThreeSpeeds(0.1), 0.8) == 0);
   CHECK(LeastSlack(ThreeSpeeds(0.1), 1.3) == 1);
 }
 
-TEST_CASE("placement: the fastest while its like are idle") {
+TEST_CASE("placement: the fastest upstream while its speed class is idle") {
   CHECK(LeastSlack(ThreeSpeeds(0.9), 0.4) == 1);
 }
 
-TEST_CASE("placement: what is late anyway takes no fast upstream") {
+TEST_CASE("placement: a late task takes no fast upstream") {
   CHECK(LeastSlack(ThreeSpeeds(0.1), kNever) == 2);
-  // But for those that idle.
+  // Fast upstreams are used while their class is mostly idle.
   CHECK(LeastSlack(ThreeSpeeds(0.9), kNever) == 1);
 }
 
-TEST_CASE("placement: among upstreams of one speed it is best fit") {
+TEST_CASE("placement: best fit among upstreams of one speed") {
   std::vector<placement_candidate> alike{{{48'000, 1000, 0}, 1, kUsual, 0.5},
                                          {{20'000, 1000, 0}, 1, kUsual, 0.5},
                                          {{12'000, 1000, 0}, 1, kUsual, 0.5}};
@@ -55,19 +55,19 @@
     CHECK(LeastSlack(alike, least_speed) == 1);
 }
 
-TEST_CASE("placement: near the data goes before fast") {
+TEST_CASE("placement: nearness to the data precedes speed") {
   std::vector<placement_candidate> candidates{{kRoom, 3, kFast, 0.9},
                                               {kRoom, 1, kUsual, 0.1}};
   CHECK(LeastSlack(candidates, 0.5) == 1);
 }
 
-TEST_CASE("placement: classes of speeds") {
+TEST_CASE("placement: speed classes") {
   CHECK(kUsual == 0);
   CHECK(kSlow < SpeedClass(0.8));
   CHECK(SpeedClass(0.8) < 0);
   CHECK(SpeedClass(1.25) > 0);
   CHECK(kFast > SpeedClass(1.25));
-  CHECK(SpeedOf(SpeedClass(1)) == 1);
+  CHECK(SpeedOfClass(SpeedClass(1)) == 1);
 }
 
 }  // namespace jasminedyke
