--- a/src/runs/job_desk.cc
+++ b/src/runs/job_desk.cc
@@ -7,22 +7,23 @@
 
 namespace {
 
-constexpr duration kSweepInterval = std::chrono::milliseconds(50);
-// A lost home's successor needs a store write after the loss is
-// noticed; a silent loss takes the lease row's expiry. After this time the
-// caller does better to come back than to wait.
-constexpr duration kLongestHomeless = std::chrono::milliseconds(900);
+constexpr duration kExpiryInterval = std::chrono::milliseconds(50);
+// A lost home's successor needs a store write after the loss is noticed; a
+// silent loss is noticed when the lease row expires. After this time it is
+// better for the caller to retry than to wait.
+constexpr duration kMaxTimeWithoutHome = std::chrono::milliseconds(900);
 constexpr duration kRetryAfterNoHome = std::chrono::seconds(1);
-// A job for which no home is known waits for one so long, if there was one, or
-// this instance started, that short a time ago: after a loss of power the homes
-// begin soon after the first instances, after a planned stop at once. When
-// there has been none for longer, nothing says that one is near.
+// A job waits for a first home only if a home was known, or this instance
+// started, less than this time ago. After a power loss, homes begin soon after
+// the first instances; after a planned stop, at once. If no home has been known
+// for longer, none can be expected soon.
 constexpr duration kWaitForFirstHome = std::chrono::milliseconds(500);
-// Operators drain a failure domain for work that takes many seconds.
+// Drains last many seconds, as operators drain a failure domain for
+// maintenance.
 constexpr duration kRetryAfterDrained = std::chrono::seconds(5);
 
-// Work of the longest chain of steps, by the caller's own estimates.
-duration LongestChain(const std::vector<job_step>& steps) {
+// Returns the length of the longest chain of steps by the caller's estimates.
+duration CriticalPath(const std::vector<job_step>& steps) {
   std::vector<duration> ends;
   duration longest = duration::zero();
   for (const job_step& step : steps) {
@@ -64,8 +65,8 @@
       last_submission_(
           static_cast<uint64_t>(clock.now().time_since_epoch().count())),
       home_known_at_(clock.now()),
-      sweep_timer_(clock) {
-  Sweep();
+      expiry_timer_(clock) {
+  ExpireJobs();
 }
 
 submission_id job_desk::Submit(run_job submission, answer_callback done) {
@@ -77,14 +78,14 @@
   job.submission = submission_id(++last_submission_);
   job.done = std::move(done);
   job.accepted = clock_.now();
-  duration chain = LongestChain(submission.steps);
+  duration chain = CriticalPath(submission.steps);
   job.objective =
       job.accepted + submission.target_latency +
       std::chrono::duration_cast<duration>(chain * submission.stretch);
   job.limit = job.accepted + submission.limit;
   for (const job_step& step : submission.steps)
     job.left.push_back(step.tasks);
-  job.asked = std::move(submission);
+  job.submitted = std::move(submission);
   submission_id id = job.submission;
   open_job& open = jobs_.emplace(key, std::move(job)).first->second;
   ChooseHome(open, kRetryAfterNoHome, run_refusal::kNotHome);
@@ -107,7 +108,7 @@
   std::erase_if(homes, [&](const known_home& home) {
     return job.refused_by.contains(home.status.group);
   });
-  // Those that passed it on come last.
+  // Puts homes that handed the job back last.
   std::stable_partition(homes.begin(), homes.end(),
                         [&](const known_home& home) {
                           return !job.passed_by.contains(home.status.group);
@@ -115,10 +116,11 @@
   if (!homes.empty()) {
     job.group = homes.front().status.group;
     job.home = homes.front().instance;
-    job.keeps_spec = homes.front().status.owners_start;
-    // Of one step, since the tasks of several may be on their way at once.
+    job.owner_sends_starts = homes.front().status.owners_start;
+    // Only a job of one step may be handed back: tasks of several steps may be
+    // in transit at the same time.
     job.may_pass =
-        job.asked.steps.size() == 1 &&
+        job.submitted.steps.size() == 1 &&
         std::any_of(homes.begin() + 1, homes.end(), [&](const auto& other) {
           return !job.passed_by.contains(other.status.group) &&
                  home_directory::HasPlaces(other.status, need);
@@ -127,65 +129,67 @@
     SendTasks(job, false);
     return;
   }
-  job.homeless_since = clock_.now();
+  job.without_home_since = clock_.now();
   run_answer answer{run_outcome::kNotRun, reason, retry_after};
   if (all_drained)
     answer = {run_outcome::kNotRun, run_refusal::kDrained, kRetryAfterDrained};
   if (job.maybe_started)
     answer.outcome = run_outcome::kUnknown;
-  // From a timer, as the caller of this may still use the job.
-  clock_.CallAfter(duration::zero(),
-                   [this, key = job.asked.key, id = job.submission, answer] {
-                     auto found = jobs_.find(key);
-                     if (found != jobs_.end() && found->second.submission == id)
-                       Answer(key, answer);
-                   });
+  // Answers from a timer, as the calling function may still use the job.
+  clock_.CallAfter(duration::zero(), [this, key = job.submitted.key,
+                                      id = job.submission, answer] {
+    auto found = jobs_.find(key);
+    if (found != jobs_.end() && found->second.submission == id)
+      Answer(key, answer);
+  });
 }
 
 int64_t job_desk::ReadyCpuMillis(const open_job& job) const {
   int64_t sum = 0;
-  for (uint32_t step = 0; step < job.asked.steps.size(); ++step) {
+  for (uint32_t step = 0; step < job.submitted.steps.size(); ++step) {
     if (StepIsReady(job, step))
-      sum += job.asked.steps[step].need.cpu_millis * job.left[step];
+      sum += job.submitted.steps[step].need.cpu_millis * job.left[step];
   }
   return sum;
 }
 
 bool job_desk::StepIsReady(const open_job& job, uint32_t step) const {
   return std::ranges::all_of(
-      job.asked.steps[step].after,
+      job.submitted.steps[step].after,
       [&](uint32_t earlier) { return job.left[earlier] == 0; });
 }
 
-void job_desk::SendTasks(open_job& job, bool again) {
-  for (uint32_t step = 0; step < job.asked.steps.size(); ++step) {
+void job_desk::SendTasks(open_job& job, bool resend) {
+  for (uint32_t step = 0; step < job.submitted.steps.size(); ++step) {
     if (job.left[step] == 0 || !StepIsReady(job, step))
       continue;
-    const job_step& asked = job.asked.steps[step];
+    const job_step& submitted = job.submitted.steps[step];
     run_request request;
-    request.job = job.asked.key;
+    request.job = job.submitted.key;
     request.submission = job.submission;
-    request.queue = job.asked.queue;
-    request.service = job.asked.service;
-    if (job.keeps_spec)
-      request.kept_spec_bytes = static_cast<uint32_t>(job.asked.spec.size());
+    request.queue = job.submitted.queue;
+    request.service = job.submitted.service;
+    if (job.owner_sends_starts)
+      request.kept_spec_bytes =
+          static_cast<uint32_t>(job.submitted.spec.size());
     else
-      request.spec = job.asked.spec;
+      request.spec = job.submitted.spec;
     request.to_objective = job.objective - clock_.now();
     request.to_limit = job.limit - clock_.now();
     request.age = clock_.now() - job.accepted;
-    request.max_attempts = job.asked.max_attempts;
-    request.priority = job.asked.priority;
+    request.max_attempts = job.submitted.max_attempts;
+    request.priority = job.submitted.priority;
     request.may_pass = job.may_pass;
-    request.has_place = job.room_at.has_value();
-    request.sending = ++job.sendings;
-    for (uint32_t index = 0; index < asked.tasks; ++index) {
+    request.has_place = job.first_room_at.has_value();
+    request.sending = ++job.requests_sent;
+    for (uint32_t index = 0; index < submitted.tasks; ++index) {
       task_position position{step, index};
       bool was_sent = job.sent.contains(position);
-      if (job.finished.contains(position) || (was_sent && !again))
+      if (job.finished.contains(position) || (was_sent && !resend))
         continue;
-      request.tasks.push_back({position, asked.need, asked.estimate, asked.rack,
-                               asked.required_label, asked.max_per_upstream,
+      request.tasks.push_back({position, submitted.need, submitted.estimate,
+                               submitted.rack, submitted.required_label,
+                               submitted.max_per_upstream,
                                was_sent && job.maybe_started});
       job.sent.insert(position);
     }
@@ -193,8 +197,8 @@
       continue;
     job.maybe_started = true;
     if (!request_(job.home, request)) {
-      // The link just broke.
-      LoseHome(job);
+      // The link to the home is down.
+      ClearHome(job);
       return;
     }
   }
@@ -207,7 +211,7 @@
   ++metrics_.left;
   LogEvent(log_level::kInfo, "caller_left",
            {{"job", key.str()},
-            {"queue", found->second.asked.queue.str()},
+            {"queue", found->second.submitted.queue.str()},
             {"ms", ToMilliseconds(clock_.now() - found->second.accepted)},
             {"home", found->second.home.str()}});
   CancelAtHome(found->second);
@@ -218,12 +222,12 @@
                                   submission_id submission) const {
   auto found = jobs_.find(key);
   bool open = found != jobs_.end() && found->second.submission == submission;
-  return open ? &found->second.asked.spec : nullptr;
+  return open ? &found->second.submitted.spec : nullptr;
 }
 
 void job_desk::CancelAtHome(const open_job& job) {
   if (!job.home.empty() && !job.sent.empty())
-    cancel_(job.home, {job.asked.key, job.submission});
+    cancel_(job.home, {job.submitted.key, job.submission});
 }
 
 void job_desk::OnReport(const instance_id& from, const run_report& report) {
@@ -234,15 +238,15 @@
   if (job.submission != report.submission)
     return;
   if (report.refusal != run_refusal::kNone) {
-    bool of_latest = report.sending == job.sendings ||
-                     report.refusal == run_refusal::kSuperseded;
-    if (job.home == from && of_latest)
+    bool refuses_latest_request = report.sending == job.requests_sent ||
+                                  report.refusal == run_refusal::kSuperseded;
+    if (job.home == from && refuses_latest_request)
       OnRefused(job, report);
     return;
   }
-  // Ends count from whichever home: an earlier one may have told of one just
-  // before its successor took over.
-  bool step_done = false;
+  // A task that is done counts no matter which home reports it: an earlier home
+  // may have sent the report just before its successor took over.
+  bool any_step_done = false;
   for (const task_report& task : report.tasks) {
     if (task.verdict == task_verdict::kFailed && job.home != from)
       continue;
@@ -254,7 +258,7 @@
     if (task.position.step >= job.left.size() ||
         !job.finished.insert(task.position).second)
       continue;
-    step_done = --job.left[task.position.step] == 0 || step_done;
+    any_step_done = --job.left[task.position.step] == 0 || any_step_done;
   }
   bool all_done =
       std::ranges::all_of(job.left, [](uint32_t n) { return n == 0; });
@@ -262,66 +266,69 @@
     CancelAtHome(job);
   if (all_done)
     Answer(report.job, {run_outcome::kSucceeded, run_refusal::kNone, {}});
-  else if (step_done)
+  else if (any_step_done)
     SendTasks(job, false);
 }
 
 void job_desk::OnRefused(open_job& job, const run_report& report) {
-  // It runs for another submission of the caller, perhaps at that very home.
+  // The job runs for another submission by the caller, perhaps at the same
+  // home.
   if (report.refusal == run_refusal::kSuperseded) {
     Answer(report.job, {run_outcome::kUnknown, report.refusal, {}});
     return;
   }
   if (report.not_run) {
-    // That home is out; another one may have room. It speaks for what it has of
-    // the job: earlier steps may have run there.
+    // Another home may have room. The refusal covers only the tasks that this
+    // home holds now: earlier steps of the job may have run there.
     job.maybe_started = !job.finished.empty();
     job.sent.clear();
     bool passed = report.refusal == run_refusal::kBusy;
     (passed ? job.passed_by : job.refused_by).insert(job.group);
-    // The first one keeps a place for it.
-    if (report.refusal == run_refusal::kOverload && !job.room_at)
-      job.room_at = clock_.now() + report.retry_after;
+    // The first home that refuses for overload reserves a place for the job.
+    if (report.refusal == run_refusal::kOverload && !job.first_room_at)
+      job.first_room_at = clock_.now() + report.retry_after;
     duration retry_after = report.retry_after;
-    if (job.room_at && *job.room_at > clock_.now())
-      retry_after = *job.room_at - clock_.now();
+    if (job.first_room_at && *job.first_room_at > clock_.now())
+      retry_after = *job.first_room_at - clock_.now();
     ChooseHome(job, retry_after, report.refusal);
     return;
   }
   if (report.refusal == run_refusal::kNotHome) {
-    LoseHome(job);
+    ClearHome(job);
     OnHomesChanged();
     return;
   }
   Answer(report.job, {run_outcome::kUnknown, report.refusal, {}});
 }
 
-// The group's next home gets the tasks.
-void job_desk::LoseHome(open_job& job) {
+// Leaves the job without a home; the group's next home gets its tasks.
+void job_desk::ClearHome(open_job& job) {
   job.home = instance_id();
-  job.homeless_since = clock_.now();
+  job.without_home_since = clock_.now();
 }
 
 void job_desk::OnHomesChanged() {
-  ServeWaiting();
+  RetryAwaitingFirstHome();
   for (auto& [key, job] : jobs_) {
     const known_home* home = homes_.Find(job.group);
-    // Also one that ends and begins again forgets its jobs in between.
+    // A home that stops loses its jobs, even if the same instance becomes home
+    // again.
     if (!home && !job.home.empty())
-      LoseHome(job);
+      ClearHome(job);
     if (!home || home->instance == job.home)
       continue;
     ++metrics_.moved;
     ++job.moved;
     job.home = home->instance;
-    job.keeps_spec = home->status.owners_start;
+    job.owner_sends_starts = home->status.owners_start;
     SendTasks(job, true);
   }
 }
 
-// Refusing them would be true and quick, but with all instances just started it
-// turned away half a second of callers whom the homes served a moment later.
-void job_desk::ServeWaiting() {
+// Chooses homes for the jobs that wait for a first one. Refusing such jobs at
+// once turned away, after a start of all instances, half a second of callers
+// whom the homes could have served a moment later.
+void job_desk::RetryAwaitingFirstHome() {
   for (auto& [key, job] : jobs_) {
     if (job.awaits_first_home)
       ChooseHome(job, kRetryAfterNoHome, run_refusal::kNotHome);
@@ -331,7 +338,7 @@
 void job_desk::OnPeerDown(const instance_id& peer) {
   for (auto& [key, job] : jobs_) {
     if (job.home == peer)
-      LoseHome(job);
+      ClearHome(job);
   }
 }
 
@@ -344,7 +351,7 @@
   if (found == jobs_.end())
     return;
   LogAnswer(found->second, answer);
-  NoteLatency(metrics_.answer_time, found->second.asked.queue,
+  NoteLatency(metrics_.answer_time, found->second.submitted.queue,
               clock_.now() - found->second.accepted, clock_.now());
   answer_callback done = std::move(found->second.done);
   jobs_.erase(found);
@@ -362,15 +369,15 @@
       });
 }
 
-// One line for each job tells where to look next: the home's log has the job's
-// id with what went wrong there.
+// Logs one line for each job. It names the home, whose log shows under the
+// job's id what went wrong there.
 void job_desk::LogAnswer(const open_job& job, const run_answer& answer) const {
   const known_home* home = homes_.Find(job.group);
   duration age = home ? clock_.now() - home->heard : duration::zero();
   bool served = answer.outcome == run_outcome::kSucceeded;
   LogEvent(log_level::kInfo, "job_answered",
-           {{"job", job.asked.key.str()},
-            {"queue", job.asked.queue.str()},
+           {{"job", job.submitted.key.str()},
+            {"queue", job.submitted.queue.str()},
             {"outcome", ToString(answer.outcome)},
             {"reason", ToString(answer.reason)},
             {"ms", ToMilliseconds(clock_.now() - job.accepted)},
@@ -395,22 +402,22 @@
   }
 }
 
-void job_desk::Sweep() {
-  // Also a home that is known may have no upstreams at first.
-  ServeWaiting();
+void job_desk::ExpireJobs() {
+  // Polls, as a known home may have no upstreams at first.
+  RetryAwaitingFirstHome();
   std::vector<job_key> given_up;
   for (const auto& [key, job] : jobs_) {
-    bool too_long_homeless =
+    bool too_long_without_home =
         job.home.empty() && !job.awaits_first_home &&
-        clock_.now() - job.homeless_since > kLongestHomeless;
-    if (clock_.now() >= job.limit || too_long_homeless)
+        clock_.now() - job.without_home_since > kMaxTimeWithoutHome;
+    if (clock_.now() >= job.limit || too_long_without_home)
       given_up.push_back(key);
   }
   for (const job_key& key : given_up) {
     CancelAtHome(jobs_.at(key));
     Answer(key, {run_outcome::kUnknown, run_refusal::kNone, {}});
   }
-  sweep_timer_.StartAfter(kSweepInterval, [this] { Sweep(); });
+  expiry_timer_.StartAfter(kExpiryInterval, [this] { ExpireJobs(); });
 }
 
 }  // namespace jasminedyke
--- a/src/runs/job_desk.h
+++ b/src/runs/job_desk.h
@@ -1,5 +1,5 @@
-// The jobs that callers handed to this entry instance, from acceptance to
-// answer.
+// Tracks the jobs that callers submitted to this entry instance, from
+// acceptance to answer.
 
 #ifndef SRC_RUNS_JOB_DESK_H_
 #define SRC_RUNS_JOB_DESK_H_
@@ -30,6 +30,7 @@
   int max_per_upstream = 0;
 };
 
+// A job as its caller submitted it.
 struct run_job {
   job_key key;
   queue_id queue;
@@ -38,7 +39,8 @@
   std::vector<job_step> steps;
   int priority = 0;
   int max_attempts = 1;
-  // Over the job's longest chain of work, for its objective.
+  // The factor on the estimated length of the job's critical path that its
+  // objective allows.
   double stretch = 1;
   duration target_latency = duration::zero();
   // How long the caller waits.
@@ -47,9 +49,9 @@
 
 enum class run_outcome {
   kSucceeded,
-  kFailed,   // a task failed as often as allowed
-  kNotRun,   // refused: no task has started or will
-  kUnknown,  // given up; parts may have run
+  kFailed,   // all allowed attempts of a task failed
+  kNotRun,   // refused: no task has started or will start
+  kUnknown,  // abandoned; some tasks may have run
 };
 
 const char* ToString(run_outcome outcome);
@@ -57,22 +59,25 @@
 struct run_answer {
   run_outcome outcome = run_outcome::kUnknown;
   run_refusal reason = run_refusal::kNone;
-  // With `kNotRun`: when it is worth trying again.
+  // With `kNotRun`: how long to wait before trying again.
   duration retry_after = duration::zero();
 };
 
 struct job_desk_metrics {
   uint64_t accepted = 0;
+  // Jobs whose callers left before the answer.
   uint64_t left = 0;
   std::map<run_outcome, uint64_t> outcomes;
   std::map<run_refusal, uint64_t> refusals;
+  // How often a job was sent to a new home of its group.
   uint64_t moved = 0;
-  // From acceptance to answer.
+  // The time from acceptance to answer.
   latency_by_queue answer_time;
 };
 
-// Sends each job to one home and keeps what it needs to go on without it: when
-// the home is lost, its successor gets the tasks that are not done.
+// Owns the jobs that were submitted here. Sends each job to one home and keeps
+// the state to continue without that home: if it is lost, its successor gets
+// the tasks that are not done.
 class job_desk {
  public:
   using answer_callback = std::function<void(const run_answer&)>;
@@ -87,23 +92,23 @@
            send_request request,
            send_cancel cancel);
 
-  // `done` is called once, never from within this call. A job that is here
-  // already under that key is answered as `kUnknown`, and the new one takes
-  // over its runs.
+  // Accepts a job. `done` is called at most once, never from within this call.
+  // An open job with the same key is answered as `kUnknown`, and the new job
+  // takes over its runs.
   submission_id Submit(run_job submission, answer_callback done);
-  // The caller left; it gets no answer.
+  // Drops the job of a caller that left; it gets no answer.
   void Leave(const job_key& key, submission_id submission);
 
-  // Answers all open jobs as `kUnknown`, at the end of a stop.
+  // Answers all open jobs as `kUnknown`, at the end of a shutdown.
   void GiveUpAll();
 
   void OnReport(const instance_id& from, const run_report& report);
-  // A group has another home, or one again.
+  // Called when a group has lost its home or has another one.
   void OnHomesChanged();
   void OnPeerDown(const instance_id& peer);
   void OnPeerUp(const instance_id& peer);
 
-  // Null if that submission is not open.
+  // Returns the job's specification; null if that submission is not open.
   const std::string* Spec(const job_key& key, submission_id submission) const;
   size_t open_jobs() const { return jobs_.size(); }
   const job_desk_metrics& metrics() const { return metrics_; }
@@ -111,7 +116,7 @@
  private:
   struct open_job {
     submission_id submission;
-    run_job asked;
+    run_job submitted;
     answer_callback done;
     time_point accepted;
     time_point objective;
@@ -119,47 +124,54 @@
     home_group group;
     // Empty while the group has no home.
     instance_id home;
-    // That home has the starts sent from here.
-    bool keeps_spec = false;
-    time_point homeless_since;
-    // How often its group got another home.
+    // True if this instance keeps the specification and sends the starts for
+    // the home.
+    bool owner_sends_starts = false;
+    time_point without_home_since;
+    // How often the job was sent to a new home of its group.
     int moved = 0;
+    // Groups whose home refused the job as not run.
     std::set<home_group> refused_by;
-    // When the first home that refused it for load expects room for it.
-    std::optional<time_point> room_at;
-    // Groups that handed the job back because another one seemed to have
-    // places.
+    // When the first home that refused the job because of overload expects room
+    // for it.
+    std::optional<time_point> first_room_at;
+    // Groups that handed the job back because another one seemed to have room.
     std::set<home_group> passed_by;
     bool may_pass = false;
-    // Requests sent for this job. A home that ends and begins again within a
-    // message's time may refuse an earlier one, as not run, after a later one
-    // has made it start the tasks.
-    uint32_t sendings = 0;
-    // Tasks that were sent to a home at any time and are not done.
+    // The number of requests sent for this job. A home that stops and becomes
+    // home again while a message is in transit may refuse an earlier request
+    // as not run after a later one has made it start the tasks.
+    uint32_t requests_sent = 0;
+    // Tasks that were sent to a home, including those that are done; cleared
+    // when a home refuses the job as not run.
     std::set<task_position> sent;
-    // Of each step, the tasks that are not done.
+    // The number of unfinished tasks of each step.
     std::vector<uint32_t> left;
     std::set<task_position> finished;
     bool maybe_started = false;
-    // No home is known, but one is likely to begin soon. Nothing was sent.
+    // True while no home is known but one is likely to begin soon; nothing was
+    // sent yet.
     bool awaits_first_home = false;
   };
   using job_map = std::map<job_key, open_job>;
 
-  // Of all tasks that are ready and not done.
+  // Returns the CPU need of all tasks that are ready and not done.
   int64_t ReadyCpuMillis(const open_job& job) const;
   bool StepIsReady(const open_job& job, uint32_t step) const;
-  // Sends the tasks of ready steps; with `again`, also those sent before.
-  void SendTasks(open_job& job, bool again);
+  // Sends the unfinished tasks of ready steps; with `resend`, also those that
+  // were sent before.
+  void SendTasks(open_job& job, bool resend);
+  // Sends the job to the best home that has not refused it, or else answers it
+  // with `reason` and `retry_after`.
   void ChooseHome(open_job& job, duration retry_after, run_refusal reason);
-  void ServeWaiting();
-  void LoseHome(open_job& job);
+  void RetryAwaitingFirstHome();
+  void ClearHome(open_job& job);
   void OnRefused(open_job& job, const run_report& report);
   void Answer(const job_key& key, const run_answer& answer);
   bool AnyHomeHasPlaces(const open_job& job) const;
   void LogAnswer(const open_job& job, const run_answer& answer) const;
   void CancelAtHome(const open_job& job);
-  void Sweep();
+  void ExpireJobs();
 
   scheduler& clock_;
   failure_domain_id domain_;
@@ -169,9 +181,10 @@
   job_map jobs_;
   uint64_t last_submission_;
   job_desk_metrics metrics_;
-  // When a home was last known that had upstreams, or this instance started.
+  // When a home with upstreams was last known; initially when this instance
+  // started.
   time_point home_known_at_;
-  scoped_timer sweep_timer_;
+  scoped_timer expiry_timer_;
 };
 
 }  // namespace jasminedyke
--- a/tests/job_desk/job_desk_test.cc
+++ b/tests/job_desk/job_desk_test.cc
@@ -1,4 +1,4 @@
-// Where a job's owner sends its tasks, and what it makes of refusals.
+// Tests where a job's owner sends tasks and how it handles refusals.
 
 #include <string>
 #include <utility>
@@ -17,7 +17,8 @@
 const instance_id kNorth("north-1");
 const instance_id kSouth("south-1");
 
-// An owner in the north that knows a home there and one in the south.
+// An owner in the failure domain `north` that knows a home there and one in the
+// failure domain `south`.
 struct desk_fixture {
   desk_fixture() {
     Tell(kNorth, "north", 1, true);
@@ -81,7 +82,7 @@
 
 }  // namespace
 
-TEST_CASE("job_desk: what one home passes on goes to the other") {
+TEST_CASE("job_desk: a job that one home hands back goes to the other") {
   desk_fixture f;
   f.Submit();
   REQUIRE(f.sent.size() == 1);
@@ -94,15 +95,14 @@
   CHECK(!f.sent[1].second.tasks[0].maybe_started);
 }
 
-TEST_CASE("job_desk: a job that comes just before the first home") {
-  // All instances lost power and are back. Callers come at once, the homes
-  // begin a fifth of a second later. A refusal would be true, but a caller that
-  // waits so long is served; one that comes when no home has been known for
-  // long is told so at once.
+TEST_CASE("job_desk: a job that arrives just before the first home") {
+  // After a power loss of all instances, callers arrive at once and homes begin
+  // 0.2 s later. Guards against refusing callers that could be served after
+  // that time. If no home has been known for long, the refusal comes at once.
   desk_fixture f;
   f.Tell(kNorth, "north", 1, false);
   f.Tell(kSouth, "south", 2, false);
-  SUBCASE("is served when that begins") {
+  SUBCASE("is served when the home begins") {
     f.Submit();
     f.clock.Advance(milliseconds(200));
     CHECK(f.answers.empty());
@@ -127,9 +127,9 @@
   }
 }
 
-TEST_CASE("job_desk: new jobs avoid a home that went quiet") {
-  // The home's process froze or lost power. Its link shows that only after a
-  // second; a caller whose short job is sent there meanwhile waits as long.
+TEST_CASE("job_desk: new jobs avoid a silent home") {
+  // If a home's process hangs or loses power, its link breaks only a second
+  // later. Guards against sending short jobs there in the meantime.
   desk_fixture f;
   f.clock.Advance(milliseconds(150));
   f.Tell(kSouth, "south", 2, true);
@@ -143,10 +143,10 @@
   CHECK(f.sent[1].first == kSouth);
 }
 
-TEST_CASE("job_desk: a home refuses and then begins anew") {
-  // The job is sent, and the home ends and begins again, so the job is sent
-  // once more and its tasks start there. Only then the refusal of the first
-  // request arrives, as not run. It must not send the job elsewhere.
+TEST_CASE("job_desk: a late refusal by a home that began again") {
+  // The home stops and begins again after the job was sent, so the job is sent
+  // again and its tasks start there. Then the first request's refusal arrives,
+  // as not run. Guards against sending the job elsewhere because of it.
   for (run_refusal why :
        {run_refusal::kBusy, run_refusal::kNotHome, run_refusal::kOverload}) {
     CAPTURE(ToString(why));
@@ -164,8 +164,8 @@
   }
 }
 
-TEST_CASE("job_desk: a home that has only a later step speaks for that alone") {
-  // Guards against a caller being told that nothing has run after a step has.
+TEST_CASE("job_desk: a refusal of a later step does not cover earlier ones") {
+  // Guards against telling a caller that nothing ran after a step has run.
   desk_fixture f;
   run_job job;
   job.key = job_key("00000000000000aa");
@@ -193,9 +193,9 @@
   CHECK(f.answers[0].outcome == run_outcome::kUnknown);
 }
 
-TEST_CASE("job_desk: a superseded job goes nowhere else") {
-  // Guards against a second start beside the caller's newer submission, which
-  // the same home runs.
+TEST_CASE("job_desk: a superseded job is not sent elsewhere") {
+  // Guards against running the job twice: the same home runs the caller's newer
+  // submission.
   desk_fixture f;
   f.Submit();
   REQUIRE(f.sent.size() == 1);
@@ -206,8 +206,8 @@
   CHECK(f.answers[0].outcome == run_outcome::kUnknown);
 }
 
-// Guards against a caller that is told of the last home's room, where no place
-// is kept for its job.
+// Guards against telling a caller when the last home expects room, as only the
+// first one reserves a place for the job.
 TEST_CASE("job_desk: a refused caller is told when the first home has room") {
   desk_fixture f;
   f.Submit();
@@ -216,8 +216,8 @@
   f.Refuse(kNorth, f.sent[0].second, run_refusal::kOverload,
            milliseconds(3000));
   run_refusal last = run_refusal::kOverload;
-  SUBCASE("which the next one refuses for load too") {}
-  SUBCASE("whatever the next one says") {
+  SUBCASE("if the next one is overloaded too") {}
+  SUBCASE("if the next one has no upstream") {
     last = run_refusal::kNoUpstream;
   }
   f.clock.Advance(milliseconds(100));
@@ -230,7 +230,7 @@
   CHECK(f.answers[0].retry_after == milliseconds(2900));
 }
 
-TEST_CASE("job_desk: a refused caller is never told a time that has passed") {
+TEST_CASE("job_desk: a retry time that has passed is not sent") {
   desk_fixture f;
   f.Submit();
   f.Refuse(kNorth, f.sent[0].second, run_refusal::kOverload,
