--- a/src/admin/run_metrics_report.cc
+++ b/src/admin/run_metrics_report.cc
@@ -14,8 +14,8 @@
          static_cast<double>(time.tv_usec) / kMicrosecondsInSecond;
 }
 
-void WriteDesk(prometheus_writer& out, const job_desk& desk) {
-  const job_desk_metrics& metrics = desk.metrics();
+void WriteDesk(prometheus_writer& out, const job_owner& desk) {
+  const job_owner_metrics& metrics = desk.metrics();
   out.Counter("jobs_accepted_total", static_cast<double>(metrics.accepted));
   out.Counter("jobs_left_total", static_cast<double>(metrics.left));
   out.Counter("jobs_moved_total", static_cast<double>(metrics.moved));
--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -78,7 +78,7 @@
       [this] {
         clock_.CallAfter(duration::zero(), [this] { election_->OnFenced(); });
       });
-  desk_ = std::make_unique<job_desk>(
+  desk_ = std::make_unique<job_owner>(
       clock, self.domain, homes_,
       [this](const instance_id& to, const run_request& request) {
         return Send(to, request);
--- a/src/runs/job_desk.cc
+++ b/src/runs/job_owner.cc
@@ -1,4 +1,4 @@
-#include "runs/job_desk.h"
+#include "runs/job_owner.h"
 
 #include <algorithm>
 #include <utility>
@@ -52,11 +52,11 @@
   return "unknown";
 }
 
-job_desk::job_desk(scheduler& clock,
-                   const failure_domain_id& domain,
-                   home_directory& homes,
-                   send_request request,
-                   send_cancel cancel)
+job_owner::job_owner(scheduler& clock,
+                     const failure_domain_id& domain,
+                     home_directory& homes,
+                     send_request request,
+                     send_cancel cancel)
     : clock_(clock),
       domain_(domain),
       homes_(homes),
@@ -69,7 +69,7 @@
   ExpireJobs();
 }
 
-submission_id job_desk::Submit(run_job submission, answer_callback done) {
+submission_id job_owner::Submit(run_job submission, answer_callback done) {
   job_key key = submission.key;
   if (jobs_.contains(key))
     Answer(key, {run_outcome::kUnknown, run_refusal::kSuperseded, {}});
@@ -92,9 +92,9 @@
   return id;
 }
 
-void job_desk::ChooseHome(open_job& job,
-                          duration retry_after,
-                          run_refusal reason) {
+void job_owner::ChooseHome(open_job& job,
+                           duration retry_after,
+                           run_refusal reason) {
   int64_t need = ReadyCpuMillis(job);
   std::vector<known_home> homes = homes_.Ranked(domain_, need);
   if (!homes.empty())
@@ -144,7 +144,7 @@
   });
 }
 
-int64_t job_desk::ReadyCpuMillis(const open_job& job) const {
+int64_t job_owner::ReadyCpuMillis(const open_job& job) const {
   int64_t sum = 0;
   for (uint32_t step = 0; step < job.submitted.steps.size(); ++step) {
     if (StepIsReady(job, step))
@@ -153,13 +153,13 @@
   return sum;
 }
 
-bool job_desk::StepIsReady(const open_job& job, uint32_t step) const {
+bool job_owner::StepIsReady(const open_job& job, uint32_t step) const {
   return std::ranges::all_of(
       job.submitted.steps[step].after,
       [&](uint32_t earlier) { return job.left[earlier] == 0; });
 }
 
-void job_desk::SendTasks(open_job& job, bool resend) {
+void job_owner::SendTasks(open_job& job, bool resend) {
   for (uint32_t step = 0; step < job.submitted.steps.size(); ++step) {
     if (job.left[step] == 0 || !StepIsReady(job, step))
       continue;
@@ -204,7 +204,7 @@
   }
 }
 
-void job_desk::Leave(const job_key& key, submission_id submission) {
+void job_owner::Leave(const job_key& key, submission_id submission) {
   auto found = jobs_.find(key);
   if (found == jobs_.end() || found->second.submission != submission)
     return;
@@ -218,19 +218,19 @@
   jobs_.erase(found);
 }
 
-const std::string* job_desk::Spec(const job_key& key,
-                                  submission_id submission) const {
+const std::string* job_owner::Spec(const job_key& key,
+                                   submission_id submission) const {
   auto found = jobs_.find(key);
   bool open = found != jobs_.end() && found->second.submission == submission;
   return open ? &found->second.submitted.spec : nullptr;
 }
 
-void job_desk::CancelAtHome(const open_job& job) {
+void job_owner::CancelAtHome(const open_job& job) {
   if (!job.home.empty() && !job.sent.empty())
     cancel_(job.home, {job.submitted.key, job.submission});
 }
 
-void job_desk::OnReport(const instance_id& from, const run_report& report) {
+void job_owner::OnReport(const instance_id& from, const run_report& report) {
   auto found = jobs_.find(report.job);
   if (found == jobs_.end())
     return;
@@ -270,7 +270,7 @@
     SendTasks(job, false);
 }
 
-void job_desk::OnRefused(open_job& job, const run_report& report) {
+void job_owner::OnRefused(open_job& job, const run_report& report) {
   // The job runs for another submission by the caller, perhaps at the same
   // home.
   if (report.refusal == run_refusal::kSuperseded) {
@@ -302,12 +302,12 @@
 }
 
 // Leaves the job without a home; the group's next home gets its tasks.
-void job_desk::ClearHome(open_job& job) {
+void job_owner::ClearHome(open_job& job) {
   job.home = instance_id();
   job.without_home_since = clock_.now();
 }
 
-void job_desk::OnHomesChanged() {
+void job_owner::OnHomesChanged() {
   RetryAwaitingFirstHome();
   for (auto& [key, job] : jobs_) {
     const known_home* home = homes_.Find(job.group);
@@ -328,25 +328,25 @@
 // Chooses homes for the jobs that wait for a first one. Refusing such jobs at
 // once turned away, after a start of all instances, half a second of callers
 // whom the homes could have served a moment later.
-void job_desk::RetryAwaitingFirstHome() {
+void job_owner::RetryAwaitingFirstHome() {
   for (auto& [key, job] : jobs_) {
     if (job.awaits_first_home)
       ChooseHome(job, kRetryAfterNoHome, run_refusal::kNotHome);
   }
 }
 
-void job_desk::OnPeerDown(const instance_id& peer) {
+void job_owner::OnPeerDown(const instance_id& peer) {
   for (auto& [key, job] : jobs_) {
     if (job.home == peer)
       ClearHome(job);
   }
 }
 
-void job_desk::OnPeerUp(const instance_id&) {
+void job_owner::OnPeerUp(const instance_id&) {
   OnHomesChanged();
 }
 
-void job_desk::Answer(const job_key& key, const run_answer& answer) {
+void job_owner::Answer(const job_key& key, const run_answer& answer) {
   auto found = jobs_.find(key);
   if (found == jobs_.end())
     return;
@@ -361,7 +361,7 @@
   done(answer);
 }
 
-bool job_desk::AnyHomeHasPlaces(const open_job& job) const {
+bool job_owner::AnyHomeHasPlaces(const open_job& job) const {
   int64_t need = ReadyCpuMillis(job);
   return std::ranges::any_of(
       homes_.Ranked(domain_, need), [need](const known_home& home) {
@@ -371,7 +371,7 @@
 
 // Logs one line for each job. It names the home, whose log shows under the
 // job's id what went wrong there.
-void job_desk::LogAnswer(const open_job& job, const run_answer& answer) const {
+void job_owner::LogAnswer(const open_job& job, const run_answer& answer) const {
   const known_home* home = homes_.Find(job.group);
   duration age = home ? clock_.now() - home->heard : duration::zero();
   bool served = answer.outcome == run_outcome::kSucceeded;
@@ -394,7 +394,7 @@
             {"sent", job.sent.size()}});
 }
 
-void job_desk::GiveUpAll() {
+void job_owner::GiveUpAll() {
   while (!jobs_.empty()) {
     CancelAtHome(jobs_.begin()->second);
     job_key key = jobs_.begin()->first;
@@ -402,7 +402,7 @@
   }
 }
 
-void job_desk::ExpireJobs() {
+void job_owner::ExpireJobs() {
   // Polls, as a known home may have no upstreams at first.
   RetryAwaitingFirstHome();
   std::vector<job_key> given_up;
--- a/src/runs/job_desk.h
+++ b/src/runs/job_owner.h
@@ -1,8 +1,8 @@
 // Tracks the jobs that callers submitted to this entry instance, from
 // acceptance to answer.
 
-#ifndef SRC_RUNS_JOB_DESK_H_
-#define SRC_RUNS_JOB_DESK_H_
+#ifndef SRC_RUNS_JOB_OWNER_H_
+#define SRC_RUNS_JOB_OWNER_H_
 
 #include <cstdint>
 #include <functional>
@@ -63,7 +63,7 @@
   duration retry_after = duration::zero();
 };
 
-struct job_desk_metrics {
+struct job_owner_metrics {
   uint64_t accepted = 0;
   // Jobs whose callers left before the answer.
   uint64_t left = 0;
@@ -78,7 +78,7 @@
 // Owns the jobs that were submitted here. Sends each job to one home and keeps
 // the state to continue without that home: if it is lost, its successor gets
 // the tasks that are not done.
-class job_desk {
+class job_owner {
  public:
   using answer_callback = std::function<void(const run_answer&)>;
   using send_request =
@@ -86,11 +86,11 @@
   using send_cancel =
       std::function<void(const instance_id&, const run_cancel&)>;
 
-  job_desk(scheduler& clock,
-           const failure_domain_id& domain,
-           home_directory& homes,
-           send_request request,
-           send_cancel cancel);
+  job_owner(scheduler& clock,
+            const failure_domain_id& domain,
+            home_directory& homes,
+            send_request request,
+            send_cancel cancel);
 
   // Accepts a job. `done` is called at most once, never from within this call.
   // An open job with the same key is answered as `kUnknown`, and the new job
@@ -111,7 +111,7 @@
   // Returns the job's specification; null if that submission is not open.
   const std::string* Spec(const job_key& key, submission_id submission) const;
   size_t open_jobs() const { return jobs_.size(); }
-  const job_desk_metrics& metrics() const { return metrics_; }
+  const job_owner_metrics& metrics() const { return metrics_; }
 
  private:
   struct open_job {
@@ -180,7 +180,7 @@
   send_cancel cancel_;
   job_map jobs_;
   uint64_t last_submission_;
-  job_desk_metrics metrics_;
+  job_owner_metrics metrics_;
   // When a home with upstreams was last known; initially when this instance
   // started.
   time_point home_known_at_;
@@ -189,4 +189,4 @@
 
 }  // namespace jasminedyke
 
-#endif  // SRC_RUNS_JOB_DESK_H_
+#endif  // SRC_RUNS_JOB_OWNER_H_
--- a/tests/job_desk/job_desk_test.cc
+++ b/tests/job_owner/job_owner_test.cc
@@ -19,8 +19,8 @@
 
 // An owner in the failure domain `north` that knows a home there and one in the
 // failure domain `south`.
-struct desk_fixture {
-  desk_fixture() {
+struct job_owner_fixture {
+  job_owner_fixture() {
     Tell(kNorth, "north", 1, true);
     Tell(kSouth, "south", 2, true);
   }
@@ -36,7 +36,7 @@
     status.free_cpu_millis = 320'000;
     status.total_cpu_millis = 320'000;
     homes.Update(home, status);
-    desk.OnHomesChanged();
+    owner.OnHomesChanged();
   }
 
   void Submit() {
@@ -48,8 +48,8 @@
     step.need = {14'000, 64, 0};
     step.estimate = milliseconds(60);
     job.steps.push_back(step);
-    desk.Submit(std::move(job),
-                [this](const run_answer& a) { answers.push_back(a); });
+    owner.Submit(std::move(job),
+                 [this](const run_answer& a) { answers.push_back(a); });
   }
 
   void Refuse(const run_request& request, run_refusal why) {
@@ -65,25 +65,25 @@
     report.retry_after = retry_after;
     report.not_run = true;
     report.sending = request.sending;
-    desk.OnReport(home, report);
+    owner.OnReport(home, report);
   }
 
   manual_scheduler clock;
   home_directory homes{clock};
   std::vector<std::pair<instance_id, run_request>> sent;
   std::vector<run_answer> answers;
-  job_desk desk{clock, failure_domain_id("north"), homes,
-                [this](const instance_id& to, const run_request& request) {
-                  sent.emplace_back(to, request);
-                  return true;
-                },
-                [](const instance_id&, const run_cancel&) {}};
+  job_owner owner{clock, failure_domain_id("north"), homes,
+                  [this](const instance_id& to, const run_request& request) {
+                    sent.emplace_back(to, request);
+                    return true;
+                  },
+                  [](const instance_id&, const run_cancel&) {}};
 };
 
 }  // namespace
 
-TEST_CASE("job_desk: a job that one home hands back goes to the other") {
-  desk_fixture f;
+TEST_CASE("job_owner: a job that one home hands back goes to the other") {
+  job_owner_fixture f;
   f.Submit();
   REQUIRE(f.sent.size() == 1);
   CHECK(f.sent[0].first == kNorth);
@@ -95,11 +95,11 @@
   CHECK(!f.sent[1].second.tasks[0].maybe_started);
 }
 
-TEST_CASE("job_desk: a job that arrives just before the first home") {
+TEST_CASE("job_owner: a job that arrives just before the first home") {
   // After a power loss of all instances, callers arrive at once and homes begin
   // 0.2 s later. Guards against refusing callers that could be served after
   // that time. If no home has been known for long, the refusal comes at once.
-  desk_fixture f;
+  job_owner_fixture f;
   f.Tell(kNorth, "north", 1, false);
   f.Tell(kSouth, "south", 2, false);
   SUBCASE("is served when the home begins") {
@@ -127,30 +127,30 @@
   }
 }
 
-TEST_CASE("job_desk: new jobs avoid a silent home") {
+TEST_CASE("job_owner: new jobs avoid a silent home") {
   // If a home's process hangs or loses power, its link breaks only a second
   // later. Guards against sending short jobs there in the meantime.
-  desk_fixture f;
+  job_owner_fixture f;
   f.clock.Advance(milliseconds(150));
   f.Tell(kSouth, "south", 2, true);
   f.Submit();
   REQUIRE(f.sent.size() == 1);
   CHECK(f.sent[0].first == kNorth);
-  f.desk.GiveUpAll();
+  f.owner.GiveUpAll();
   f.clock.Advance(milliseconds(100));
   f.Submit();
   REQUIRE(f.sent.size() == 2);
   CHECK(f.sent[1].first == kSouth);
 }
 
-TEST_CASE("job_desk: a late refusal by a home that began again") {
+TEST_CASE("job_owner: a late refusal by a home that began again") {
   // The home stops and begins again after the job was sent, so the job is sent
   // again and its tasks start there. Then the first request's refusal arrives,
   // as not run. Guards against sending the job elsewhere because of it.
   for (run_refusal why :
        {run_refusal::kBusy, run_refusal::kNotHome, run_refusal::kOverload}) {
     CAPTURE(ToString(why));
-    desk_fixture f;
+    job_owner_fixture f;
     f.Submit();
     f.Tell(kNorth, "north", 1, false);
     f.Tell(kNorth, "north", 3, true);
@@ -164,9 +164,9 @@
   }
 }
 
-TEST_CASE("job_desk: a refusal of a later step does not cover earlier ones") {
+TEST_CASE("job_owner: a refusal of a later step does not cover earlier ones") {
   // Guards against telling a caller that nothing ran after a step has run.
-  desk_fixture f;
+  job_owner_fixture f;
   run_job job;
   job.key = job_key("00000000000000aa");
   job.limit = milliseconds(1500);
@@ -175,28 +175,28 @@
   step.need = {14'000, 64, 0};
   job.steps = {step, step};
   job.steps[1].after = {0};
-  f.desk.Submit(std::move(job),
-                [&f](const run_answer& a) { f.answers.push_back(a); });
+  f.owner.Submit(std::move(job),
+                 [&f](const run_answer& a) { f.answers.push_back(a); });
   REQUIRE(f.sent.size() == 1);
   run_report done{f.sent[0].second.job, f.sent[0].second.submission, {}};
   done.tasks.push_back({{0, 0}, task_verdict::kDone});
-  f.desk.OnReport(instance_id(f.sent[0].first), done);
+  f.owner.OnReport(instance_id(f.sent[0].first), done);
   for (size_t i = 1; i < 4 && i < f.sent.size(); ++i) {
     run_report refusal{f.sent[i].second.job, f.sent[i].second.submission, {}};
     refusal.refusal = run_refusal::kOverload;
     refusal.not_run = true;
     refusal.sending = f.sent[i].second.sending;
-    f.desk.OnReport(instance_id(f.sent[i].first), refusal);
+    f.owner.OnReport(instance_id(f.sent[i].first), refusal);
   }
   f.clock.Advance(milliseconds(10));
   REQUIRE(f.answers.size() == 1);
   CHECK(f.answers[0].outcome == run_outcome::kUnknown);
 }
 
-TEST_CASE("job_desk: a superseded job is not sent elsewhere") {
+TEST_CASE("job_owner: a superseded job is not sent elsewhere") {
   // Guards against running the job twice: the same home runs the caller's newer
   // submission.
-  desk_fixture f;
+  job_owner_fixture f;
   f.Submit();
   REQUIRE(f.sent.size() == 1);
   f.Refuse(f.sent[0].second, run_refusal::kSuperseded);
@@ -208,8 +208,8 @@
 
 // Guards against telling a caller when the last home expects room, as only the
 // first one reserves a place for the job.
-TEST_CASE("job_desk: a refused caller is told when the first home has room") {
-  desk_fixture f;
+TEST_CASE("job_owner: a refused caller is told when the first home has room") {
+  job_owner_fixture f;
   f.Submit();
   REQUIRE(f.sent.size() == 1);
   CHECK(!f.sent[0].second.has_place);
@@ -230,8 +230,8 @@
   CHECK(f.answers[0].retry_after == milliseconds(2900));
 }
 
-TEST_CASE("job_desk: a retry time that has passed is not sent") {
-  desk_fixture f;
+TEST_CASE("job_owner: a retry time that has passed is not sent") {
+  job_owner_fixture f;
   f.Submit();
   f.Refuse(kNorth, f.sent[0].second, run_refusal::kOverload,
            milliseconds(1000));
