--- a/src/runs/run_types.cc
+++ b/src/runs/run_types.cc
@@ -4,7 +4,8 @@
 
 namespace jasminedyke {
 
-resource_amount MaximumOf(const resource_amount& a, const resource_amount& b) {
+resource_amount ComponentwiseMax(const resource_amount& a,
+                                 const resource_amount& b) {
   return {std::max(a.cpu_millis, b.cpu_millis),
           std::max(a.memory_mb, b.memory_mb),
           std::max(a.accelerators, b.accelerators)};
--- a/src/runs/run_types.h
+++ b/src/runs/run_types.h
@@ -71,7 +71,8 @@
 };
 
 // Returns the larger amount of each resource.
-resource_amount MaximumOf(const resource_amount& a, const resource_amount& b);
+resource_amount ComponentwiseMax(const resource_amount& a,
+                                 const resource_amount& b);
 
 // The position of a task within its job.
 struct task_position {
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -74,7 +74,7 @@
   info_ = info;
   if (is_told)
     TakeRegisteredBirth();
-  largest_capacity_ = MaximumOf(largest_capacity_, info.capacity);
+  largest_capacity_ = ComponentwiseMax(largest_capacity_, info.capacity);
 }
 
 void upstream_session::TakeRegisteredBirth() {
