--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -301,7 +301,7 @@
 // when it opens; so all that can reach one that knows do, also those that
 // restart while the store is away.
 void run_cluster::OnDrainedDomains(const drained_domains& drained) {
-  if (!drains_.Take(drained))
+  if (!drains_.UpdateIfNewer(drained))
     return;
   for (const failure_domain_id& domain : drained.domains)
     LogEvent(
--- a/src/runs/domain_drains.cc
+++ b/src/runs/domain_drains.cc
@@ -2,7 +2,7 @@
 
 namespace jasminedyke {
 
-bool domain_drains::Take(const drained_domains& heard) {
+bool domain_drains::UpdateIfNewer(const drained_domains& heard) {
   if (heard.as_of <= newest_.as_of)
     return false;
   bool changed = !known() || heard.domains != newest_.domains;
--- a/src/runs/domain_drains.h
+++ b/src/runs/domain_drains.h
@@ -35,7 +35,7 @@
  public:
   // Adopts `heard` if it is newer than the known state. Returns true if the set
   // of drained domains changed or the first state became known.
-  bool Take(const drained_domains& heard);
+  bool UpdateIfNewer(const drained_domains& heard);
 
   bool known() const { return newest_.as_of.value() > 0; }
   const drained_domains& newest() const { return newest_; }
