--- a/src/runs/job_owner.cc
+++ b/src/runs/job_owner.cc
@@ -204,7 +204,7 @@
   }
 }
 
-void job_owner::Leave(const job_key& key, submission_id submission) {
+void job_owner::OnCallerLeft(const job_key& key, submission_id submission) {
   auto found = jobs_.find(key);
   if (found == jobs_.end() || found->second.submission != submission)
     return;
--- a/src/runs/job_owner.h
+++ b/src/runs/job_owner.h
@@ -97,7 +97,7 @@
   // takes over its runs.
   submission_id Submit(run_job submission, answer_callback done);
   // Drops the job of a caller that left; it gets no answer.
-  void Leave(const job_key& key, submission_id submission);
+  void OnCallerLeft(const job_key& key, submission_id submission);
 
   // Answers all open jobs as `kUnknown`, at the end of a shutdown.
   void GiveUpAll();
