--- a/src/runs/job_owner.h
+++ b/src/runs/job_owner.h
@@ -130,7 +130,7 @@
     time_point without_home_since;
     // How often the job was sent to a new home of its group.
     int moved = 0;
-    // Groups whose home refused the job as not run.
+    // Groups whose home refused the job as not run, except for `passed_by`.
     std::set<home_group> refused_by;
     // When the first home that refused the job because of overload expects room
     // for it.
@@ -161,8 +161,9 @@
   // Sends the unfinished tasks of ready steps; with `resend`, also those that
   // were sent before.
   void SendTasks(open_job& job, bool resend);
-  // Sends the job to the best home that has not refused it, or else answers it
-  // with `reason` and `retry_after`.
+  // Sends the job to the best home that has not refused it. Without one, the
+  // job waits for a first home if that is likely to begin soon, or else is
+  // answered with `reason` and `retry_after`.
   void ChooseHome(open_job& job, duration retry_after, run_refusal reason);
   void RetryAwaitingFirstHome();
   void ClearHome(open_job& job);
--- a/src/runs/run_types.h
+++ b/src/runs/run_types.h
@@ -112,7 +112,7 @@
 
 // The end of a run, which the upstream reports until it is acknowledged.
 struct listed_end {
-  // Incremented for each run that ends during the upstream's incarnation.
+  // Numbers the ended runs of the upstream's incarnation consecutively.
   uint64_t sequence = 0;
   task_name task;
   run_number run;
--- a/src/runs/task_placer.h
+++ b/src/runs/task_placer.h
@@ -72,9 +72,10 @@
   };
 
   void ListUpstreams();
+  // Returns true if the upstream is good or may get a trial task now.
   bool MayTry(const available_upstream& open);
-  // Returns true if the task should run outside its data's rack now: it
-  // ends in time there, or would be late even near its data.
+  // Returns true if the task may run outside its data's rack: it ends in time
+  // there, or would be late even near its data.
   bool MayRunOffRack(const home_job& job, const home_task& task) const;
   // Returns the objective, or the expected end of the job's current runs if
   // that is later.
