--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -78,7 +78,7 @@
       [this] {
         clock_.CallAfter(duration::zero(), [this] { election_->OnFenced(); });
       });
-  desk_ = std::make_unique<job_desk>(
+  desk_ = std::make_unique<job_owner>(
       clock, self.domain, homes_,
       [this](const instance_id& to, const run_request& request) {
         return Send(to, request);
@@ -301,7 +301,7 @@
 // when it opens; so all that can reach one that knows do, also those that
 // restart while the store is away.
 void run_cluster::OnDrainedDomains(const drained_domains& drained) {
-  if (!drains_.Take(drained))
+  if (!drains_.UpdateIfNewer(drained))
     return;
   for (const failure_domain_id& domain : drained.domains)
     LogEvent(
--- a/tests/job_desk/job_desk_test.cc
+++ b/tests/job_owner/job_owner_test.cc
@@ -1,4 +1,4 @@
-// Where a job's owner sends its tasks, and what it makes of refusals.
+// Tests where a job's owner sends tasks and how it handles refusals.
 
 #include <string>
 #include <utility>
@@ -17,9 +17,10 @@
 const instance_id kNorth("north-1");
 const instance_id kSouth("south-1");
 
-// An owner in the north that knows a home there and one in the south.
-struct desk_fixture {
-  desk_fixture() {
+// An owner in the failure domain `north` that knows a home there and one in the
+// failure domain `south`.
+struct job_owner_fixture {
+  job_owner_fixture() {
     Tell(kNorth, "north", 1, true);
     Tell(kSouth, "south", 2, true);
   }
@@ -35,7 +36,7 @@
     status.free_cpu_millis = 320'000;
     status.total_cpu_millis = 320'000;
     homes.Update(home, status);
-    desk.OnHomesChanged();
+    owner.OnHomesChanged();
   }
 
   void Submit() {
@@ -47,8 +48,8 @@
     step.need = {14'000, 64, 0};
     step.estimate = milliseconds(60);
     job.steps.push_back(step);
-    desk.Submit(std::move(job),
-                [this](const run_answer& a) { answers.push_back(a); });
+    owner.Submit(std::move(job),
+                 [this](const run_answer& a) { answers.push_back(a); });
   }
 
   void Refuse(const run_request& request, run_refusal why) {
@@ -64,25 +65,25 @@
     report.retry_after = retry_after;
     report.not_run = true;
     report.sending = request.sending;
-    desk.OnReport(home, report);
+    owner.OnReport(home, report);
   }
 
   manual_scheduler clock;
   home_directory homes{clock};
   std::vector<std::pair<instance_id, run_request>> sent;
   std::vector<run_answer> answers;
-  job_desk desk{clock, failure_domain_id("north"), homes,
-                [this](const instance_id& to, const run_request& request) {
-                  sent.emplace_back(to, request);
-                  return true;
-                },
-                [](const instance_id&, const run_cancel&) {}};
+  job_owner owner{clock, failure_domain_id("north"), homes,
+                  [this](const instance_id& to, const run_request& request) {
+                    sent.emplace_back(to, request);
+                    return true;
+                  },
+                  [](const instance_id&, const run_cancel&) {}};
 };
 
 }  // namespace
 
-TEST_CASE("job_desk: what one home passes on goes to the other") {
-  desk_fixture f;
+TEST_CASE("job_owner: a job that one home hands back goes to the other") {
+  job_owner_fixture f;
   f.Submit();
   REQUIRE(f.sent.size() == 1);
   CHECK(f.sent[0].first == kNorth);
@@ -94,15 +95,14 @@
   CHECK(!f.sent[1].second.tasks[0].maybe_started);
 }
 
-TEST_CASE("job_desk: a job that comes just before the first home") {
-  // All instances lost power and are back. Callers come at once, the homes
-  // begin a fifth of a second later. A refusal would be true, but a caller that
-  // waits so long is served; one that comes when no home has been known for
-  // long is told so at once.
-  desk_fixture f;
+TEST_CASE("job_owner: a job that arrives just before the first home") {
+  // After a power loss of all instances, callers arrive at once and homes begin
+  // 0.2 s later. Guards against refusing callers that could be served after
+  // that time. If no home has been known for long, the refusal comes at once.
+  job_owner_fixture f;
   f.Tell(kNorth, "north", 1, false);
   f.Tell(kSouth, "south", 2, false);
-  SUBCASE("is served when that begins") {
+  SUBCASE("is served when the home begins") {
     f.Submit();
     f.clock.Advance(milliseconds(200));
     CHECK(f.answers.empty());
@@ -127,30 +127,30 @@
   }
 }
 
-TEST_CASE("job_desk: new jobs avoid a home that went quiet") {
-  // The home's process froze or lost power. Its link shows that only after a
-  // second; a caller whose short job is sent there meanwhile waits as long.
-  desk_fixture f;
+TEST_CASE("job_owner: new jobs avoid a silent home") {
+  // If a home's process hangs or loses power, its link breaks only a second
+  // later. Guards against sending short jobs there in the meantime.
+  job_owner_fixture f;
   f.clock.Advance(milliseconds(150));
   f.Tell(kSouth, "south", 2, true);
   f.Submit();
   REQUIRE(f.sent.size() == 1);
   CHECK(f.sent[0].first == kNorth);
-  f.desk.GiveUpAll();
+  f.owner.GiveUpAll();
   f.clock.Advance(milliseconds(100));
   f.Submit();
   REQUIRE(f.sent.size() == 2);
   CHECK(f.sent[1].first == kSouth);
 }
 
-TEST_CASE("job_desk: a home refuses and then begins anew") {
-  // The job is sent, and the home ends and begins again, so the job is sent
-  // once more and its tasks start there. Only then the refusal of the first
-  // request arrives, as not run. It must not send the job elsewhere.
+TEST_CASE("job_owner: a late refusal by a home that began again") {
+  // The home stops and begins again after the job was sent, so the job is sent
+  // again and its tasks start there. Then the first request's refusal arrives,
+  // as not run. Guards against sending the job elsewhere because of it.
   for (run_refusal why :
        {run_refusal::kBusy, run_refusal::kNotHome, run_refusal::kOverload}) {
     CAPTURE(ToString(why));
-    desk_fixture f;
+    job_owner_fixture f;
     f.Submit();
     f.Tell(kNorth, "north", 1, false);
     f.Tell(kNorth, "north", 3, true);
@@ -164,9 +164,9 @@
   }
 }
 
-TEST_CASE("job_desk: a home that has only a later step speaks for that alone") {
-  // Guards against a caller being told that nothing has run after a step has.
-  desk_fixture f;
+TEST_CASE("job_owner: a refusal of a later step does not cover earlier ones") {
+  // Guards against telling a caller that nothing ran after a step has run.
+  job_owner_fixture f;
   run_job job;
   job.key = job_key("00000000000000aa");
   job.limit = milliseconds(1500);
@@ -175,28 +175,28 @@
   step.need = {14'000, 64, 0};
   job.steps = {step, step};
   job.steps[1].after = {0};
-  f.desk.Submit(std::move(job),
-                [&f](const run_answer& a) { f.answers.push_back(a); });
+  f.owner.Submit(std::move(job),
+                 [&f](const run_answer& a) { f.answers.push_back(a); });
   REQUIRE(f.sent.size() == 1);
   run_report done{f.sent[0].second.job, f.sent[0].second.submission, {}};
   done.tasks.push_back({{0, 0}, task_verdict::kDone});
-  f.desk.OnReport(instance_id(f.sent[0].first), done);
+  f.owner.OnReport(instance_id(f.sent[0].first), done);
   for (size_t i = 1; i < 4 && i < f.sent.size(); ++i) {
     run_report refusal{f.sent[i].second.job, f.sent[i].second.submission, {}};
     refusal.refusal = run_refusal::kOverload;
     refusal.not_run = true;
     refusal.sending = f.sent[i].second.sending;
-    f.desk.OnReport(instance_id(f.sent[i].first), refusal);
+    f.owner.OnReport(instance_id(f.sent[i].first), refusal);
   }
   f.clock.Advance(milliseconds(10));
   REQUIRE(f.answers.size() == 1);
   CHECK(f.answers[0].outcome == run_outcome::kUnknown);
 }
 
-TEST_CASE("job_desk: a superseded job goes nowhere else") {
-  // Guards against a second start beside the caller's newer submission, which
-  // the same home runs.
-  desk_fixture f;
+TEST_CASE("job_owner: a superseded job is not sent elsewhere") {
+  // Guards against running the job twice: the same home runs the caller's newer
+  // submission.
+  job_owner_fixture f;
   f.Submit();
   REQUIRE(f.sent.size() == 1);
   f.Refuse(f.sent[0].second, run_refusal::kSuperseded);
@@ -206,18 +206,18 @@
   CHECK(f.answers[0].outcome == run_outcome::kUnknown);
 }
 
-// Guards against a caller that is told of the last home's room, where no place
-// is kept for its job.
-TEST_CASE("job_desk: a refused caller is told when the first home has room") {
-  desk_fixture f;
+// Guards against telling a caller when the last home expects room, as only the
+// first one reserves a place for the job.
+TEST_CASE("job_owner: a refused caller is told when the first home has room") {
+  job_owner_fixture f;
   f.Submit();
   REQUIRE(f.sent.size() == 1);
   CHECK(!f.sent[0].second.has_place);
   f.Refuse(kNorth, f.sent[0].second, run_refusal::kOverload,
            milliseconds(3000));
   run_refusal last = run_refusal::kOverload;
-  SUBCASE("which the next one refuses for load too") {}
-  SUBCASE("whatever the next one says") {
+  SUBCASE("if the next one is overloaded too") {}
+  SUBCASE("if the next one has no upstream") {
     last = run_refusal::kNoUpstream;
   }
   f.clock.Advance(milliseconds(100));
@@ -230,8 +230,8 @@
   CHECK(f.answers[0].retry_after == milliseconds(2900));
 }
 
-TEST_CASE("job_desk: a refused caller is never told a time that has passed") {
-  desk_fixture f;
+TEST_CASE("job_owner: a retry time that has passed is not sent") {
+  job_owner_fixture f;
   f.Submit();
   f.Refuse(kNorth, f.sent[0].second, run_refusal::kOverload,
            milliseconds(1000));
