--- a/src/runs/upstream_life.cc
+++ b/src/runs/upstream_life.cc
@@ -152,7 +152,7 @@
 bool upstream_life::MayBeginLater(const run_record& record,
                                   time_point now) const {
   return birth != upstream_birth() && !gone &&
-         (record.IsUnclear() || record.carried) &&
+         (record.IsUnconfirmed() || record.carried) &&
          now - record.since < kLongestOnTheWay;
 }
 
--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -11,7 +11,7 @@
 bool IsOver(const run_record& record,
             time_point sent,
             const hold_reply& reply) {
-  if (!record.IsUnclear())
+  if (!record.IsUnconfirmed())
     return record.since < sent;
   bool refused = record.refused_since && sent >= *record.refused_since;
   bool too_late = !record.carried && IsOverAt(reply.clock, record.not_after);
@@ -31,7 +31,7 @@
   carried = false;
   if (listed.percent)
     NoteProgress(*listed.percent, now);
-  if (!IsUnclear())
+  if (!IsUnconfirmed())
     return;
   phase = run_phase::kRunning;
   since = now;
@@ -92,14 +92,14 @@
 
 bool upstream_runs::HasUnclear() const {
   return std::ranges::any_of(
-      runs_, [](const auto& entry) { return entry.second.IsUnclear(); });
+      runs_, [](const auto& entry) { return entry.second.IsUnconfirmed(); });
 }
 
 std::vector<task_name> upstream_runs::InDoubt(time_point now,
                                               duration patience) const {
   std::vector<task_name> in_doubt;
   for (const auto& [task, record] : runs_) {
-    if (record.IsUnclear() &&
+    if (record.IsUnconfirmed() &&
         (record.carried || now - record.since >= patience))
       in_doubt.push_back(task);
   }
@@ -111,7 +111,8 @@
   std::vector<run_over> over;
   for (const auto& [task, record] : runs_) {
     if (!IsListed(reply, task, record.run) && IsOver(record, sent, reply))
-      over.push_back({task, record.run, record.IsUnclear() && !record.carried});
+      over.push_back(
+          {task, record.run, record.IsUnconfirmed() && !record.carried});
   }
   return over;
 }
@@ -122,7 +123,7 @@
     if (record.seen)
       continue;
     run_record next = record;
-    if (next.IsUnclear())
+    if (next.IsUnconfirmed())
       next.phase = run_phase::kUnproven;
     next.carried = true;
     next.refused_since.reset();
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -55,7 +55,7 @@
   std::optional<run_progress> progress;
 
   // Not known to have begun.
-  bool IsUnclear() const {
+  bool IsUnconfirmed() const {
     return phase == run_phase::kStarting || phase == run_phase::kUnproven;
   }
   void NoteListed(const listed_run& listed, time_point now);
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -267,7 +267,7 @@
 void upstream_session::OnStopAnswered(run_record& record, call_result result) {
   if (result == call_result::kUnknown)
     NoteUnanswered();
-  if (result != call_result::kOk || !record.IsUnclear())
+  if (result != call_result::kOk || !record.IsUnconfirmed())
     return;
   record.refused_since = clock_.now();
   SendLook();
