--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -90,7 +90,7 @@
   });
 }
 
-bool upstream_runs::HasUnclear() const {
+bool upstream_runs::HasUnconfirmed() const {
   return std::ranges::any_of(
       runs_, [](const auto& entry) { return entry.second.IsUnconfirmed(); });
 }
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -96,7 +96,7 @@
   void Remove(const task_name& task);
 
   bool HasFound() const;
-  bool HasUnclear() const;
+  bool HasUnconfirmed() const;
   // Not known to have begun so long after the order, or if they are carried.
   std::vector<task_name> InDoubt(time_point now, duration patience) const;
   // What the reply to a hold that was sent at `sent` proves to be over.
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -101,7 +101,7 @@
   ++lives_;
   std::unique_ptr<upstream_life> old = std::move(life_);
   life_ = std::make_unique<upstream_life>(clock_, birth, *old);
-  if (life_->runs.HasUnclear())
+  if (life_->runs.HasUnconfirmed())
     WatchStarts(times_.Patience(kStartPatience));
   upstream_loss loss{{info_.id, old->birth}, true, {}};
   for (const auto& [task, record] : old->runs.all()) {
@@ -276,7 +276,7 @@
 void upstream_session::WatchStarts(duration pause) {
   life_->start_timer.StartAfter(pause, [this, pause] {
     CheckStarts();
-    if (life_->runs.HasUnclear())
+    if (life_->runs.HasUnconfirmed())
       WatchStarts(std::clamp(pause * 2, kStartRecheck, kLongestStartRecheck));
   });
 }
