--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -95,8 +95,9 @@
       runs_, [](const auto& entry) { return entry.second.IsUnconfirmed(); });
 }
 
-std::vector<task_name> upstream_runs::InDoubt(time_point now,
-                                              duration patience) const {
+std::vector<task_name> upstream_runs::UnconfirmedLongerThan(
+    time_point now,
+    duration patience) const {
   std::vector<task_name> in_doubt;
   for (const auto& [task, record] : runs_) {
     if (record.IsUnconfirmed() &&
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -98,7 +98,8 @@
   bool HasFound() const;
   bool HasUnconfirmed() const;
   // Not known to have begun so long after the order, or if they are carried.
-  std::vector<task_name> InDoubt(time_point now, duration patience) const;
+  std::vector<task_name> UnconfirmedLongerThan(time_point now,
+                                               duration patience) const;
   // What the reply to a hold that was sent at `sent` proves to be over.
   std::vector<run_over> Unlisted(time_point sent,
                                  const hold_reply& reply) const;
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -282,8 +282,8 @@
 }
 
 void upstream_session::CheckStarts() {
-  std::vector<task_name> in_doubt =
-      life_->runs.InDoubt(clock_.now(), times_.Patience(kStartPatience));
+  std::vector<task_name> in_doubt = life_->runs.UnconfirmedLongerThan(
+      clock_.now(), times_.Patience(kStartPatience));
   if (in_doubt.empty())
     return;
   for (const task_name& task : in_doubt) {
@@ -301,7 +301,8 @@
 void upstream_session::RefuseUnlistedStarts(time_point sent,
                                             const hold_reply& reply) {
   duration patience = times_.Patience(kStartPatience);
-  for (const task_name& task : life_->runs.InDoubt(sent, patience)) {
+  for (const task_name& task :
+       life_->runs.UnconfirmedLongerThan(sent, patience)) {
     run_record* record = life_->runs.Find(task);
     if (!record->refused_since && !IsListed(reply, task, record->run))
       SendStop(*record, task);
