--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -107,8 +107,8 @@
   return in_doubt;
 }
 
-std::vector<run_over> upstream_runs::Unlisted(time_point sent,
-                                              const hold_reply& reply) const {
+std::vector<run_over> upstream_runs::EndedRuns(time_point sent,
+                                               const hold_reply& reply) const {
   std::vector<run_over> over;
   for (const auto& [task, record] : runs_) {
     if (!IsListed(reply, task, record.run) && IsOver(record, sent, reply))
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -101,8 +101,8 @@
   std::vector<task_name> UnconfirmedLongerThan(time_point now,
                                                duration patience) const;
   // What the reply to a hold that was sent at `sent` proves to be over.
-  std::vector<run_over> Unlisted(time_point sent,
-                                 const hold_reply& reply) const;
+  std::vector<run_over> EndedRuns(time_point sent,
+                                  const hold_reply& reply) const;
   // What may begin, or run, in the incarnation that follows.
   upstream_runs Carried() const;
 
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -596,7 +596,7 @@
 }
 
 void upstream_session::JudgeUnlisted(time_point sent, const hold_reply& reply) {
-  for (const run_over& over : life_->runs.Unlisted(sent, reply)) {
+  for (const run_over& over : life_->runs.EndedRuns(sent, reply)) {
     // Gone by what the owner did when told of another one.
     if (!life_->runs.Find(over.task))
       continue;
