--- a/src/runs/upstream_life.cc
+++ b/src/runs/upstream_life.cc
@@ -156,13 +156,13 @@
          now - record.since < kLongestOnTheWay;
 }
 
-std::vector<run_over> upstream_life::TakeAllOver(time_point now) {
-  std::vector<run_over> over;
+std::vector<ended_run> upstream_life::TakeAllOver(time_point now) {
+  std::vector<ended_run> over;
   for (const auto& [task, record] : runs.all()) {
     if (!MayBeginLater(record, now))
       over.push_back({task, record.run, false, record.seen});
   }
-  for (const run_over& each : over)
+  for (const ended_run& each : over)
     runs.Remove(each.task);
   return over;
 }
--- a/src/runs/upstream_life.h
+++ b/src/runs/upstream_life.h
@@ -83,7 +83,7 @@
                                       const lease_limits& bounds);
   // Once the lease is over or the upstream is gone. What a later incarnation
   // may carry out stays.
-  std::vector<run_over> TakeAllOver(time_point now);
+  std::vector<ended_run> TakeAllOver(time_point now);
 
   upstream_birth birth;
   // Not the first incarnation that is known here.
--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -107,9 +107,9 @@
   return in_doubt;
 }
 
-std::vector<run_over> upstream_runs::EndedRuns(time_point sent,
-                                               const hold_reply& reply) const {
-  std::vector<run_over> over;
+std::vector<ended_run> upstream_runs::EndedRuns(time_point sent,
+                                                const hold_reply& reply) const {
+  std::vector<ended_run> over;
   for (const auto& [task, record] : runs_) {
     if (!IsListed(reply, task, record.run) && IsOver(record, sent, reply))
       over.push_back(
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -63,7 +63,7 @@
 };
 
 // A run that is over, and how that is told.
-struct run_over {
+struct ended_run {
   task_name task;
   run_number run;
   // The order can't have been carried out by any incarnation.
@@ -101,8 +101,8 @@
   std::vector<task_name> UnconfirmedLongerThan(time_point now,
                                                duration patience) const;
   // What the reply to a hold that was sent at `sent` proves to be over.
-  std::vector<run_over> EndedRuns(time_point sent,
-                                  const hold_reply& reply) const;
+  std::vector<ended_run> EndedRuns(time_point sent,
+                                   const hold_reply& reply) const;
   // What may begin, or run, in the incarnation that follows.
   upstream_runs Carried() const;
 
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -545,9 +545,9 @@
 }
 
 void upstream_session::EndAll(run_end how) {
-  std::vector<run_over> ended = life_->TakeAllOver(clock_.now());
+  std::vector<ended_run> ended = life_->TakeAllOver(clock_.now());
   upstream_loss loss{{info_.id, life_->birth}, life_->gone, {}};
-  for (const run_over& over : ended)
+  for (const ended_run& over : ended)
     loss.runs.push_back({over.task, over.begun});
   if (life_->gone)
     TellFoundAgain(true);
@@ -555,7 +555,7 @@
     owner_.OnLost(*this, loss);
   if (!ended.empty() && !life_->gone)
     AddMissing(loss);
-  for (const run_over& over : ended)
+  for (const ended_run& over : ended)
     owner_.OnRunEnded(*this, over.task, over.run, how);
 }
 
@@ -596,7 +596,7 @@
 }
 
 void upstream_session::JudgeUnlisted(time_point sent, const hold_reply& reply) {
-  for (const run_over& over : life_->runs.EndedRuns(sent, reply)) {
+  for (const ended_run& over : life_->runs.EndedRuns(sent, reply)) {
     // Gone by what the owner did when told of another one.
     if (!life_->runs.Find(over.task))
       continue;
