--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -125,7 +125,7 @@
       continue;
     run_record next = record;
     if (next.IsUnconfirmed())
-      next.phase = run_phase::kUnproven;
+      next.phase = run_phase::kUnanswered;
     next.carried = true;
     next.refused_since.reset();
     next.stop_in_flight = false;
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -14,9 +14,9 @@
 namespace jasminedyke {
 
 enum class run_phase {
-  kFound,     // listed, of an earlier owner, not yet adopted
-  kStarting,  // ordered, no answer yet
-  kUnproven,  // the order was not answered; it may run or may not
+  kFound,       // listed, of an earlier owner, not yet adopted
+  kStarting,    // ordered, no answer yet
+  kUnanswered,  // the order was not answered; it may run or may not
   kRunning,
 };
 
@@ -56,7 +56,7 @@
 
   // Not known to have begun.
   bool IsUnconfirmed() const {
-    return phase == run_phase::kStarting || phase == run_phase::kUnproven;
+    return phase == run_phase::kStarting || phase == run_phase::kUnanswered;
   }
   void NoteListed(const listed_run& listed, time_point now);
   void NoteProgress(int percent, time_point now);
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -199,7 +199,7 @@
     case start_result::kUnknown:
       NoteUnanswered();
       if (was_starting)
-        record.phase = run_phase::kUnproven;
+        record.phase = run_phase::kUnanswered;
       SendLook();
       return;
     case start_result::kNotSent:
