--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -13,7 +13,7 @@
             const hold_reply& reply) {
   if (!record.IsUnconfirmed())
     return record.since < sent;
-  bool refused = record.refused_since && sent >= *record.refused_since;
+  bool refused = record.stop_confirmed_at && sent >= *record.stop_confirmed_at;
   bool too_late = !record.carried && IsOverAt(reply.clock, record.not_after);
   return refused || too_late;
 }
@@ -127,7 +127,7 @@
     if (next.IsUnconfirmed())
       next.phase = run_phase::kUnanswered;
     next.carried = true;
-    next.refused_since.reset();
+    next.stop_confirmed_at.reset();
     next.stop_in_flight = false;
     carried.Put(task, next);
   }
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -43,7 +43,7 @@
   // An order that was not carried out by then never will be.
   upstream_time not_after;
   // The upstream confirmed the run's stop then: it can't begin any more.
-  std::optional<time_point> refused_since;
+  std::optional<time_point> stop_confirmed_at;
   // Known to run, or to have run, in the present incarnation.
   bool seen = false;
   // Ordered of an earlier incarnation. That one may have begun it, and the
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -269,7 +269,7 @@
     NoteUnanswered();
   if (result != call_result::kOk || !record.IsUnconfirmed())
     return;
-  record.refused_since = clock_.now();
+  record.stop_confirmed_at = clock_.now();
   SendLook();
 }
 
@@ -304,7 +304,7 @@
   for (const task_name& task :
        life_->runs.UnconfirmedLongerThan(sent, patience)) {
     run_record* record = life_->runs.Find(task);
-    if (!record->refused_since && !IsListed(reply, task, record->run))
+    if (!record->stop_confirmed_at && !IsListed(reply, task, record->run))
       SendStop(*record, task);
   }
 }
