--- a/src/runs/upstream_life.cc
+++ b/src/runs/upstream_life.cc
@@ -40,7 +40,7 @@
     : upstream_life(scheduler, born) {
   follows = true;
   settled = before.settled;
-  runs = before.runs.Carried();
+  runs = before.runs.ForNextIncarnation();
 }
 
 // An answer to a call that was made in the present life comes from this one or
--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -118,7 +118,7 @@
   return over;
 }
 
-upstream_runs upstream_runs::Carried() const {
+upstream_runs upstream_runs::ForNextIncarnation() const {
   upstream_runs carried;
   for (const auto& [task, record] : runs_) {
     if (record.seen)
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -104,7 +104,7 @@
   std::vector<ended_run> EndedRuns(time_point sent,
                                    const hold_reply& reply) const;
   // What may begin, or run, in the incarnation that follows.
-  upstream_runs Carried() const;
+  upstream_runs ForNextIncarnation() const;
 
  private:
   run_map runs_;
