--- a/src/runs/run_claims.cc
+++ b/src/runs/run_claims.cc
@@ -57,7 +57,7 @@
     early_ends_[task] = how;
 }
 
-std::optional<run_end> run_claims::TakeEarlyEnd(const task_name& task) {
+std::optional<run_end> run_claims::TakeUnclaimedEnd(const task_name& task) {
   auto found = early_ends_.find(task);
   if (found == early_ends_.end())
     return std::nullopt;
--- a/src/runs/run_claims.h
+++ b/src/runs/run_claims.h
@@ -44,7 +44,7 @@
                run_end how,
                bool has_task);
   // For a task whose job has come: how it ended before, or where it runs.
-  std::optional<run_end> TakeEarlyEnd(const task_name& task);
+  std::optional<run_end> TakeUnclaimedEnd(const task_name& task);
   std::optional<claimed_run> Claim(const task_name& task);
   // Runs somewhere unclaimed: started now it would run twice at one time.
   bool IsFound(const task_name& task) const;
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -149,7 +149,7 @@
     task.demand = demand;
     if (is_new)
       task.queued_at = clock_.now();
-    if (auto end = claims_.TakeEarlyEnd(name)) {
+    if (auto end = claims_.TakeUnclaimedEnd(name)) {
       if (*end == run_end::kDone && demand.maybe_started) {
         job.ran = true;
         OnTaskDone(job, task);
