--- a/src/runs/crash_record.cc
+++ b/src/runs/crash_record.cc
@@ -97,7 +97,7 @@
   return erased > 0;
 }
 
-bool crash_record::OnSuspectVanished(const task_name& task, time_point now) {
+bool crash_record::OnSuspectRunMissing(const task_name& task, time_point now) {
   return entries_.contains(task) && Add(task, {{{}, true}, now});
 }
 
--- a/src/runs/crash_record.h
+++ b/src/runs/crash_record.h
@@ -78,7 +78,7 @@
   // Of a run under an earlier home nothing is found. Of others that says
   // little, but that of a suspect probably took its upstream down. False if it
   // was none.
-  bool OnSuspectVanished(const task_name& task, time_point now);
+  bool OnSuspectRunMissing(const task_name& task, time_point now);
   // A run ended, and its upstream lives.
   void OnRunEnded(const task_name& task);
   // From another instance.
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -463,7 +463,7 @@
       if (task.phase != task_phase::kUnclear)
         continue;
       task.phase = task_phase::kQueued;
-      if (crashes_.OnSuspectVanished({key, 0, position}, clock_.now()))
+      if (crashes_.OnSuspectRunMissing({key, 0, position}, clock_.now()))
         TellCrashes();
     }
   }
--- a/tests/crash_record/crash_record_test.cc
+++ b/tests/crash_record/crash_record_test.cc
@@ -216,8 +216,8 @@
 TEST_CASE("crash_record: a suspect whose run vanished with its home") {
   crash_record record;
   record.Take({{{Task(1), {{Upstream("u1"), true}}}}, {}}, At(0));
-  record.OnSuspectVanished(Task(1), At(2000));
-  record.OnSuspectVanished(Task(2), At(2000));
+  record.OnSuspectRunMissing(Task(1), At(2000));
+  record.OnSuspectRunMissing(Task(2), At(2000));
   CHECK(record.Of(Task(1), At(2001)) == crash_suspicion::kHeld);
   CHECK(record.Of(Task(2), At(2001)) == crash_suspicion::kNone);
 }
