--- a/src/runs/crash_record.cc
+++ b/src/runs/crash_record.cc
@@ -174,7 +174,8 @@
                                  : Judge(found->second, now);
 }
 
-duration crash_record::HeldFor(const task_name& task, time_point now) const {
+duration crash_record::RemainingHoldTime(const task_name& task,
+                                         time_point now) const {
   time_point until = now;
   auto found = entries_.find(task);
   if (found == entries_.end())
--- a/src/runs/crash_record.h
+++ b/src/runs/crash_record.h
@@ -86,7 +86,7 @@
 
   crash_suspicion Of(const task_name& task, time_point now) const;
   // Until a task that is held may be started again.
-  duration HeldFor(const task_name& task, time_point now) const;
+  duration RemainingHoldTime(const task_name& task, time_point now) const;
   // Empty if there are none.
   std::vector<task_loss> LossesOf(const task_name& task) const;
   // What others have not been told yet. At once, as the home may be lost next;
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -389,7 +389,7 @@
   task_name name{job.key, 0, task.demand.position};
   reports_.LogHeld(name, crashes_.LossesOf(name));
   HandBack(job, run_refusal::kUpstreamsLost,
-           crashes_.HeldFor(name, clock_.now()));
+           crashes_.RemainingHoldTime(name, clock_.now()));
 }
 
 void run_home::OnNotStarted(upstream_session& session,
--- a/tests/crash_record/crash_record_test.cc
+++ b/tests/crash_record/crash_record_test.cc
@@ -56,7 +56,7 @@
   record.OnUpstreamLost(At(0), Loss("u1", {Task(1), Task(2)}), kUpstreams);
   record.OnUpstreamLost(At(2000), Loss("u2", {Task(1)}), kUpstreams);
   CHECK(record.Of(Task(1), At(2001)) == crash_suspicion::kHeld);
-  CHECK(record.HeldFor(Task(1), At(2001)) == milliseconds(57'999));
+  CHECK(record.RemainingHoldTime(Task(1), At(2001)) == milliseconds(57'999));
   CHECK(record.Of(Task(2), At(2001)) == crash_suspicion::kSuspect);
 }
 
@@ -131,7 +131,7 @@
   CHECK(record.Of(Task(1), At(60'500)) == crash_suspicion::kSuspect);
   record.OnUpstreamLost(At(61'000), Loss("u31", {Task(1)}), kUpstreams);
   CHECK(record.Of(Task(1), At(61'000)) == crash_suspicion::kHeld);
-  CHECK(record.HeldFor(Task(1), At(61'000)) == milliseconds(49'000));
+  CHECK(record.RemainingHoldTime(Task(1), At(61'000)) == milliseconds(49'000));
   CHECK(record.Of(Task(1), At(110'000)) == crash_suspicion::kSuspect);
 }
 
