--- a/src/runs/run_claims.cc
+++ b/src/runs/run_claims.cc
@@ -84,7 +84,7 @@
   return found != found_.end() && found->first.task == task;
 }
 
-void run_claims::Sweep() {
+void run_claims::StopUnclaimed() {
   if (MayBeClaimed())
     return;
   for (auto& [where, run] : found_)
--- a/src/runs/run_claims.h
+++ b/src/runs/run_claims.h
@@ -50,7 +50,7 @@
   bool IsFound(const task_name& task) const;
 
   // Stops what nobody has claimed in time.
-  void Sweep();
+  void StopUnclaimed();
 
   size_t found() const { return found_.size(); }
 
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -627,7 +627,7 @@
 // and refuses jobs that can't be answered in time any more.
 void run_home::Sweep() {
   time_point now = clock_.now();
-  claims_.Sweep();
+  claims_.StopUnclaimed();
   for (auto& [peer, until] : orphaned_at_) {
     if (now < until)
       continue;
