--- a/src/runs/run_times.cc
+++ b/src/runs/run_times.cc
@@ -62,7 +62,7 @@
     if (session->idle() || KindOf(session->info()) != kind)
       continue;
     ++all;
-    doubted += upstreams_.Standing(id).doubted() ? 1 : 0;
+    doubted += upstreams_.Standing(id).suspected_slow() ? 1 : 0;
   }
   return all > 2 && doubted * 2 > all;
 }
--- a/src/runs/upstream_standing.h
+++ b/src/runs/upstream_standing.h
@@ -33,7 +33,7 @@
   // Several runs have shown it.
   bool slow() const;
   // Its last run was far slower than usual.
-  bool doubted() const { return doubt_ > 0; }
+  bool suspected_slow() const { return doubt_ > 0; }
   // May be given one task, though it is not good.
   bool MayTry(time_point now) const { return now >= next_trial_; }
   // A trial begins.
