--- a/src/runs/crash_record.cc
+++ b/src/runs/crash_record.cc
@@ -168,7 +168,8 @@
   return suspect;
 }
 
-crash_suspicion crash_record::Of(const task_name& task, time_point now) const {
+crash_suspicion crash_record::SuspicionLevel(const task_name& task,
+                                             time_point now) const {
   auto found = entries_.find(task);
   return found == entries_.end() ? crash_suspicion::kNone
                                  : Judge(found->second, now);
@@ -214,7 +215,7 @@
 crash_news crash_record::All(time_point now) const {
   crash_news news;
   for (const auto& [task, found] : entries_) {
-    if (Of(task, now) != crash_suspicion::kNone)
+    if (SuspicionLevel(task, now) != crash_suspicion::kNone)
       news.suspects.push_back(Describe(task, found));
   }
   for (const auto& [upstream, explained] : explained_)
--- a/src/runs/crash_record.h
+++ b/src/runs/crash_record.h
@@ -84,7 +84,7 @@
   // From another instance.
   void Take(const crash_news& news, time_point now);
 
-  crash_suspicion Of(const task_name& task, time_point now) const;
+  crash_suspicion SuspicionLevel(const task_name& task, time_point now) const;
   // Until a task that is held may be started again.
   duration RemainingHoldTime(const task_name& task, time_point now) const;
   // Empty if there are none.
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -589,7 +589,8 @@
 
 crash_suspicion run_home::SuspicionOf(const home_job& job,
                                       const home_task& task) const {
-  return crashes_.Of({job.key, 0, task.demand.position}, clock_.now());
+  return crashes_.SuspicionLevel({job.key, 0, task.demand.position},
+                                 clock_.now());
 }
 
 // Null if none is held.
