--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-bool IsOver(const run_record& record,
-            time_point sent,
-            const hold_reply& reply) {
+bool HasEnded(const run_record& record,
+              time_point sent,
+              const hold_reply& reply) {
   if (!record.IsUnconfirmed())
     return record.since < sent;
-  bool refused = record.stop_confirmed_at && sent >= *record.stop_confirmed_at;
-  bool too_late = !record.carried && IsOverAt(reply.clock, record.not_after);
-  return refused || too_late;
+  bool stopped = record.stop_confirmed_at && sent >= *record.stop_confirmed_at;
+  bool expired = !record.carried && IsOverAt(reply.clock, record.not_after);
+  return stopped || expired;
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
 }
 
 void run_record::NoteProgress(int percent, time_point now) {
-  // A reply that was overtaken shows an earlier state.
+  // A lower percentage comes from a reply that a newer one overtook.
   if (progress && percent < progress->percent)
     return;
   if (!progress || percent > progress->percent)
@@ -98,24 +98,24 @@
 std::vector<task_name> upstream_runs::UnconfirmedLongerThan(
     time_point now,
     duration patience) const {
-  std::vector<task_name> in_doubt;
+  std::vector<task_name> unconfirmed;
   for (const auto& [task, record] : runs_) {
     if (record.IsUnconfirmed() &&
         (record.carried || now - record.since >= patience))
-      in_doubt.push_back(task);
+      unconfirmed.push_back(task);
   }
-  return in_doubt;
+  return unconfirmed;
 }
 
 std::vector<ended_run> upstream_runs::EndedRuns(time_point sent,
                                                 const hold_reply& reply) const {
-  std::vector<ended_run> over;
+  std::vector<ended_run> ended;
   for (const auto& [task, record] : runs_) {
-    if (!IsListed(reply, task, record.run) && IsOver(record, sent, reply))
-      over.push_back(
+    if (!IsListed(reply, task, record.run) && HasEnded(record, sent, reply))
+      ended.push_back(
           {task, record.run, record.IsUnconfirmed() && !record.carried});
   }
-  return over;
+  return ended;
 }
 
 upstream_runs upstream_runs::ForNextIncarnation() const {
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -1,4 +1,4 @@
-// What runs, or may run, on one upstream.
+// The runs that execute, or may execute, on one upstream.
 
 #ifndef SRC_RUNS_UPSTREAM_RUNS_H_
 #define SRC_RUNS_UPSTREAM_RUNS_H_
@@ -14,18 +14,20 @@
 namespace jasminedyke {
 
 enum class run_phase {
-  kFound,       // listed, of an earlier owner, not yet adopted
-  kStarting,    // ordered, no answer yet
-  kUnanswered,  // the order was not answered; it may run or may not
+  kFound,       // listed by the upstream, started by an earlier owner of the
+                // upstream and not adopted yet
+  kStarting,    // the start request is in flight
+  kUnanswered,  // the start request got no answer; the run may exist or not
   kRunning,
 };
 
-// How far a run has come, as its upstream lists it.
+// Progress of a run as its upstream lists it.
 struct run_progress {
   int percent = 0;
-  // When the run was known to have begun: a start may be carried out late.
+  // When the run was first known to have begun. An upstream may carry out a
+  // start request late, so this is not the time of the request.
   time_point began;
-  // When this per cent was first listed, and when it last was.
+  // When this percentage was first listed, and when it was last listed.
   time_point reached;
   time_point listed;
 };
@@ -34,27 +36,29 @@
   run_number run;
   resource_amount need;
   run_phase phase = run_phase::kStarting;
-  // When the order was sent, and for `kRunning` when we learnt that it runs,
-  // on our clock. Only what is asked later can show that it ended: a hold
-  // that waited may list a run that began long after the hold was sent.
+  // Local time at which the start request was sent or, for `kRunning`, at which
+  // the run was learnt to be running. Only a hold sent after this time can
+  // prove that the run ended: a hold that waited may list a run that began long
+  // after the hold was sent.
   time_point since;
-  // The upstream's clock showed no less when the order was sent.
+  // Lower bound of the upstream's clock when the start request was sent.
   upstream_time ordered;
-  // An order that was not carried out by then never will be.
+  // The upstream ignores the start request after this time.
   upstream_time not_after;
-  // The upstream confirmed the run's stop then: it can't begin any more.
+  // When the upstream confirmed that the run is stopped. The run can't begin
+  // after that.
   std::optional<time_point> stop_confirmed_at;
-  // Known to run, or to have run, in the present incarnation.
+  // The run is known to have begun in the upstream's present incarnation.
   bool seen = false;
-  // Ordered of an earlier incarnation. That one may have begun it, and the
-  // present one may do so yet: the order's time limit means nothing on its
-  // clock.
+  // The start request was sent to an earlier incarnation of the upstream, which
+  // may have begun the run. The present incarnation may still begin it, and
+  // `not_after` can't be compared with the present incarnation's clock.
   bool carried = false;
   bool stop_wanted = false;
   bool stop_in_flight = false;
   std::optional<run_progress> progress;
 
-  // Not known to have begun.
+  // Whether the run is not known to have begun.
   bool IsUnconfirmed() const {
     return phase == run_phase::kStarting || phase == run_phase::kUnanswered;
   }
@@ -62,48 +66,50 @@
   void NoteProgress(int percent, time_point now);
 };
 
-// A run that is over, and how that is told.
+// A run that has ended or never existed.
 struct ended_run {
   task_name task;
   run_number run;
-  // The order can't have been carried out by any incarnation.
+  // No incarnation of the upstream can have carried out the start request.
   bool never_began = false;
-  // Known to have begun.
+  // The run is known to have begun.
   bool begun = false;
 };
 
-// An earlier run of the task says nothing of this one: the reply was written
-// before this one could begin.
+// Whether `reply` lists this run of the task or a later one. An earlier run in
+// the list doesn't count: the reply was written before this run could begin.
 bool IsListed(const hold_reply& reply, const task_name& task, run_number run);
 
-// At most one run of a task.
+// Holds at most one run per task.
 class upstream_runs {
  public:
   using run_map = std::map<task_name, run_record>;
 
   const run_map& all() const { return runs_; }
   bool empty() const { return runs_.empty(); }
-  // The sum of all needs.
+  // The sum of the resources that all runs need.
   const resource_amount& occupied() const { return occupied_; }
 
-  // Null if there is none.
+  // Returns null if the task has no run here.
   run_record* Find(const task_name& task);
   const run_record* Find(const task_name& task) const;
   void Put(const task_name& task, const run_record& record);
-  // Of an earlier owner.
+  // Adds a run that an earlier owner of the upstream started.
   void PutFound(const listed_run& listed, time_point now);
   void Adopt(run_record& record, const resource_amount& need);
   void Remove(const task_name& task);
 
   bool HasFound() const;
   bool HasUnconfirmed() const;
-  // Not known to have begun so long after the order, or if they are carried.
+  // Tasks whose runs are still unconfirmed `patience` after the start request,
+  // and all unconfirmed runs carried over from an earlier incarnation.
   std::vector<task_name> UnconfirmedLongerThan(time_point now,
                                                duration patience) const;
-  // What the reply to a hold that was sent at `sent` proves to be over.
+  // Runs that have ended, as proven by the reply to a hold sent at `sent`.
   std::vector<ended_run> EndedRuns(time_point sent,
                                    const hold_reply& reply) const;
-  // What may begin, or run, in the incarnation that follows.
+  // The runs that may still begin, or execute, in the upstream's next
+  // incarnation.
   upstream_runs ForNextIncarnation() const;
 
  private:
