--- a/src/runs/upstream_standing.cc
+++ b/src/runs/upstream_standing.cc
@@ -7,69 +7,71 @@
 
 namespace {
 
-// One sound upstream in ten thousand looks slow by chance.
-constexpr double kCertain = 4;
-// One run alone, however slow, may just be long.
-constexpr double kMostDoubt = 2.5;
-// Few tasks fail by their own fault, so two jobs in a row that fail on one
-// upstream are hardly chance.
-constexpr int kFailuresInARow = 2;
-// A trial may cost its job the objective, so trials get rarer. Slow and failing
-// spells last seconds.
-constexpr duration kFirstTrialPause = std::chrono::milliseconds(1000);
-constexpr duration kLongestTrialPause = std::chrono::seconds(4);
+// An upstream is slow from this sum of -log10(chance) on: one healthy upstream
+// in ten thousand reaches it by chance.
+constexpr double kSlowThreshold = 4;
+// Limits what one run adds to the sum: however slow, it may just be a long
+// task.
+constexpr double kMaxSlownessPerRun = 2.5;
+// Few tasks fail through their own fault, so failures of two jobs in a row on
+// one upstream are unlikely to be chance.
+constexpr int kFailuresUntilBad = 2;
+// A trial may make its job miss its objective, so the pause between trials
+// grows. It is capped because upstreams are slow or failing for seconds at a
+// time.
+constexpr duration kMinTrialPause = std::chrono::milliseconds(1000);
+constexpr duration kMaxTrialPause = std::chrono::seconds(4);
 
 }  // namespace
 
 void upstream_standing::OnDone() {
   failures_ = 0;
-  doubt_ = 0;
-  last_slow_ = {};
+  slowness_ = 0;
+  last_slow_task_ = {};
   state_ = state::kGood;
   trial_pause_ = duration::zero();
   next_trial_ = time_point();
 }
 
 void upstream_standing::OnSlow(time_point now,
-                               const task_name& shown_by,
+                               const task_name& task,
                                double chance) {
-  if (shown_by == last_slow_)
+  if (task == last_slow_task_)
     return;
-  last_slow_ = shown_by;
-  doubt_ += std::min(-std::log10(chance), kMostDoubt);
+  last_slow_task_ = task;
+  slowness_ += std::min(-std::log10(chance), kMaxSlownessPerRun);
   if (slow() || !good())
-    TurnBad(now);
+    MarkBad(now);
 }
 
 bool upstream_standing::slow() const {
-  return doubt_ >= kCertain;
+  return slowness_ >= kSlowThreshold;
 }
 
 void upstream_standing::OnFailed(time_point now, const job_key& job) {
-  if (job == last_failed_)
+  if (job == last_failed_job_)
     return;
-  last_failed_ = job;
+  last_failed_job_ = job;
   ++failures_;
-  if (failures_ >= kFailuresInARow || !good())
-    TurnBad(now);
+  if (failures_ >= kFailuresUntilBad || !good())
+    MarkBad(now);
 }
 
 void upstream_standing::OnStuck(time_point now) {
-  TurnBad(now);
+  MarkBad(now);
 }
 
 void upstream_standing::OnTrial(time_point now) {
-  // The next one only when this one has had its time.
-  next_trial_ = now + std::max(trial_pause_, kFirstTrialPause);
+  // The next trial waits until this one has had time to finish.
+  next_trial_ = now + std::max(trial_pause_, kMinTrialPause);
 }
 
-void upstream_standing::TurnBad(time_point now) {
-  // Runs that began before count once.
+void upstream_standing::MarkBad(time_point now) {
+  // Bad runs that began before the next trial count once.
   if (!good() && now < next_trial_)
     return;
   state_ = state::kBad;
-  trial_pause_ =
-      std::clamp(trial_pause_ * 2, kFirstTrialPause, kLongestTrialPause);
+  trial_pause_ = std::clamp(trial_pause_ * 2, kMinTrialPause, kMaxTrialPause);
   next_trial_ = now + trial_pause_;
 }
 
--- a/src/runs/upstream_standing.h
+++ b/src/runs/upstream_standing.h
@@ -1,5 +1,5 @@
-// What an upstream's last runs say about it: whether it is slow, stuck or
-// fails what it starts.
+// Rates an upstream by its recent runs: whether it is slow, hangs, or fails the
+// tasks it starts.
 
 #ifndef SRC_RUNS_UPSTREAM_STANDING_H_
 #define SRC_RUNS_UPSTREAM_STANDING_H_
@@ -9,50 +9,53 @@
 
 namespace jasminedyke {
 
-// An upstream that fails everything fast is always free and would draw all
-// work; one that is slow or stuck makes each job that touches it late. Health
-// answers tell neither. So a bad one gets nothing but a single trial now and
-// then, and is trusted again after one run that was as it should be.
+// An upstream that fails every task quickly is always free and would attract
+// all work; one that is slow or hangs makes every job that uses it late. Health
+// checks detect neither. A bad upstream therefore gets only a single trial task
+// from time to time, and becomes good again after one run of normal length.
 //
-// Slow is what several runs in a row show that are hardly chance together: a
-// single long task does not make a sound upstream bad.
+// An upstream counts as slow after several slow runs in a row that are unlikely
+// to be chance together: a single long task does not make it bad.
 class upstream_standing {
  public:
-  // A run ended done, in a time that is usual on upstreams of its kind.
+  // A run succeeded, in a time that is usual on upstreams of this kind.
   void OnDone();
-  // A run is far slower than is usual there; `chance` of sound runs are. Each
-  // `shown_by` counts once in a row.
-  void OnSlow(time_point now, const task_name& shown_by, double chance);
-  // A run of `job` ended failed. Failures of one job alone are the job's.
+  // The run of `task` takes far longer than usual on this upstream; `chance` is
+  // the share of runs on a healthy upstream that are as slow. Consecutive
+  // reports of the same task count once.
+  void OnSlow(time_point now, const task_name& task, double chance);
+  // A run of `job` failed. Consecutive failures of one job count once, since
+  // the job may be their cause.
   void OnFailed(time_point now, const job_key& job);
-  // A run hangs there.
+  // A run hangs on this upstream.
   void OnStuck(time_point now);
 
-  // Takes any work.
+  // Whether the upstream accepts any task, rather than single trials.
   bool good() const { return state_ == state::kGood; }
-  // Several runs have shown it.
+  // Whether several runs in a row were far slower than usual.
   bool slow() const;
-  // Its last run was far slower than usual.
-  bool suspected_slow() const { return doubt_ > 0; }
-  // May be given one task, though it is not good.
+  // Whether the last run was far slower than usual.
+  bool suspected_slow() const { return slowness_ > 0; }
+  // Whether a trial task may be placed on a bad upstream now.
   bool MayTry(time_point now) const { return now >= next_trial_; }
-  // A trial begins.
+  // A trial task was placed.
   void OnTrial(time_point now);
 
  private:
   enum class state { kGood, kBad };
 
-  void TurnBad(time_point now);
+  void MarkBad(time_point now);
 
   state state_ = state::kGood;
   time_point next_trial_;
   duration trial_pause_ = duration::zero();
-  // Failures in a row, of different jobs, without a success in between.
+  // Consecutive failures of different jobs, without a success in between.
   int failures_ = 0;
-  job_key last_failed_;
-  // Decades of how unlikely the slow runs in a row are on a sound upstream.
-  double doubt_ = 0;
-  task_name last_slow_;
+  job_key last_failed_job_;
+  // Sum of -log10(chance) over the consecutive slow runs: how unlikely they are
+  // on a healthy upstream.
+  double slowness_ = 0;
+  task_name last_slow_task_;
 };
 
 }  // namespace jasminedyke
