--- a/src/runs/run_claims.cc
+++ b/src/runs/run_claims.cc
@@ -4,11 +4,11 @@
 
 namespace {
 
-// After a takeover the jobs' owners have so long to claim what runs; they learn
-// of the new home within a message's time, or re-open a link. Leases last
-// longer from the earlier home's last hold.
-constexpr duration kClaimTime = std::chrono::milliseconds(300);
-constexpr size_t kMaxEarlyEnds = 20'000;
+// How long after a takeover the job owners may claim found runs. Owners learn
+// of the new home within one message delay, or by re-opening a link. Leases
+// granted by the last hold of the earlier home last longer than this.
+constexpr duration kClaimPeriod = std::chrono::milliseconds(300);
+constexpr size_t kMaxUnclaimedEnds = 20'000;
 
 }  // namespace
 
@@ -18,34 +18,34 @@
 
 void run_claims::Clear() {
   found_.clear();
-  early_ends_.clear();
+  unclaimed_ends_.clear();
 }
 
 bool run_claims::MayBeClaimed() const {
-  return clock_.now() - begun_ < kClaimTime;
+  return clock_.now() - begun_ < kClaimPeriod;
 }
 
 void run_claims::OnFound(upstream_session& session,
                          const task_name& task,
                          bool unwanted) {
-  place where{task, session.info().id};
-  found_run& run = found_[where];
+  run_location location{task, session.info().id};
+  found_run& run = found_[location];
   run = {};
   LogEvent(log_level::kInfo, "run_found",
            {{"job", task.job.str()},
             {"task", task.position.index},
-            {"upstream", where.upstream.str()},
+            {"upstream", location.upstream.str()},
             {"unwanted", unwanted ? 1 : 0}});
   if (unwanted || !MayBeClaimed())
-    StopRun(where, run);
+    StopRun(location, run);
 }
 
-void run_claims::StopRun(const place& where, found_run& run) {
+void run_claims::StopRun(const run_location& location, found_run& run) {
   if (run.stopping)
     return;
   run.stopping = true;
-  if (upstream_session* session = upstreams_.Find(where.upstream))
-    session->Stop(where.task);
+  if (upstream_session* session = upstreams_.Find(location.upstream))
+    session->Stop(location.task);
 }
 
 void run_claims::OnEnded(const upstream_id& upstream,
@@ -53,16 +53,16 @@
                          run_end how,
                          bool has_task) {
   found_.erase({task, upstream});
-  if (!has_task && MayBeClaimed() && early_ends_.size() < kMaxEarlyEnds)
-    early_ends_[task] = how;
+  if (!has_task && MayBeClaimed() && unclaimed_ends_.size() < kMaxUnclaimedEnds)
+    unclaimed_ends_[task] = how;
 }
 
 std::optional<run_end> run_claims::TakeUnclaimedEnd(const task_name& task) {
-  auto found = early_ends_.find(task);
-  if (found == early_ends_.end())
+  auto found = unclaimed_ends_.find(task);
+  if (found == unclaimed_ends_.end())
     return std::nullopt;
   run_end how = found->second;
-  early_ends_.erase(found);
+  unclaimed_ends_.erase(found);
   return how;
 }
 
@@ -73,7 +73,7 @@
     return std::nullopt;
   claimed_run claimed{found->first.upstream, found->second.stopping};
   found = found_.erase(found);
-  // One is enough.
+  // The task needs only one run.
   for (; found != found_.end() && found->first.task == task; ++found)
     StopRun(found->first, found->second);
   return claimed;
@@ -87,9 +87,9 @@
 void run_claims::StopUnclaimed() {
   if (MayBeClaimed())
     return;
-  for (auto& [where, run] : found_)
-    StopRun(where, run);
-  early_ends_.clear();
+  for (auto& [location, run] : found_)
+    StopRun(location, run);
+  unclaimed_ends_.clear();
 }
 
 }  // namespace jasminedyke
--- a/src/runs/run_claims.h
+++ b/src/runs/run_claims.h
@@ -1,10 +1,11 @@
-// Runs that a home finds on its upstreams without having ordered them, and the
-// jobs that claim them.
+// Tracks runs that a home finds on its upstreams without having started them,
+// and matches them with the jobs that claim them.
 //
 // A home looks for such runs on all its upstreams as long as it serves. After a
-// takeover they are its predecessor's, and jobs' owners soon claim them. Later
-// ones are orders that were carried out late, of this home or of one that is
-// gone for good; a job that nobody waits for must not go on running there.
+// takeover they belong to its predecessor, and the owners of their jobs soon
+// claim them. Runs found later come from start requests that were carried out
+// late, sent by this home or by one that is gone for good; they are stopped, so
+// that no run goes on for a job that nobody waits for.
 
 #ifndef SRC_RUNS_RUN_CLAIMS_H_
 #define SRC_RUNS_RUN_CLAIMS_H_
@@ -21,35 +22,41 @@
 
 class run_claims {
  public:
-  // A found run that its task's job takes over.
+  // A found run that the job of its task takes over.
   struct claimed_run {
     upstream_id upstream;
-    // Claimed too late: the task has to wait for its end.
+    // The run was claimed after it had been told to stop: the task must wait
+    // for it to end.
     bool stopping = false;
   };
 
   run_claims(const scheduler& clock, const home_upstreams& upstreams)
       : clock_(clock), upstreams_(upstreams) {}
 
-  // The home begins: there may be claims for a moment.
+  // Starts the period in which job owners may claim found runs.
   void Begin();
   void Clear();
 
-  // No task of the home takes it. `unwanted`: its job is here and has no use
-  // for it, so nobody can claim it.
+  // Records a run that no task of this home uses. `unwanted` means that its job
+  // is at this home and doesn't need the run, so that nobody will claim it.
   void OnFound(upstream_session& session, const task_name& task, bool unwanted);
-  // Of any run; `has_task` if its job is here.
+  // Records the end of any run; `has_task` tells whether its task is at this
+  // home.
   void OnEnded(const upstream_id& upstream,
                const task_name& task,
                run_end how,
                bool has_task);
-  // For a task whose job has come: how it ended before, or where it runs.
+  // Returns how the task's run ended before its job came to this home, if it
+  // did, and forgets it.
   std::optional<run_end> TakeUnclaimedEnd(const task_name& task);
+  // Hands one found run of the task, if there is one, to the task's job and
+  // stops the others.
   std::optional<claimed_run> Claim(const task_name& task);
-  // Runs somewhere unclaimed: started now it would run twice at one time.
+  // Whether an unclaimed run of the task exists: if the task were started now,
+  // it would run twice at the same time.
   bool IsFound(const task_name& task) const;
 
-  // Stops what nobody has claimed in time.
+  // Stops the found runs that nobody has claimed in time.
   void StopUnclaimed();
 
   size_t found() const { return found_.size(); }
@@ -58,26 +65,26 @@
   struct found_run {
     bool stopping = false;
   };
-  struct place {
+  struct run_location {
     task_name task;
     upstream_id upstream;
 
-    auto operator<=>(const place&) const = default;
+    auto operator<=>(const run_location&) const = default;
   };
-  using found_map = std::map<place, found_run>;
+  using found_map = std::map<run_location, found_run>;
 
   bool MayBeClaimed() const;
-  void StopRun(const place& where, found_run& run);
+  void StopRun(const run_location& location, found_run& run);
 
   const scheduler& clock_;
   const home_upstreams& upstreams_;
   time_point begun_;
-  // Until their end is certain: a job that claims one later than allowed must
-  // wait for it, or its task would run twice at one time. A task may have been
-  // started on several upstreams.
+  // Unclaimed runs, kept until they are known to have ended: a job that claims
+  // one too late must wait for its end, or its task would run twice at the same
+  // time. A task may have runs on several upstreams.
   found_map found_;
-  // Ends listed under an earlier home for jobs that have not come yet.
-  std::map<task_name, run_end> early_ends_;
+  // Results of runs that ended before their jobs came to this home.
+  std::map<task_name, run_end> unclaimed_ends_;
 };
 
 }  // namespace jasminedyke
