--- a/src/runs/start_delegation.cc
+++ b/src/runs/start_delegation.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-// The owner gives its own call 300 ms; one that is frozen gives no result at
-// all. The home looks for an unanswered start long before.
+// Exceeds the 300 ms that the owner waits for the upstream, and covers an owner
+// that is frozen and returns no result at all. The home asks the upstream about
+// an unanswered start request long before this time.
 constexpr duration kResultTimeout = std::chrono::milliseconds(400);
 
 }  // namespace
@@ -91,7 +92,8 @@
   if (found == pending_.end())
     return;
   start_callback done = std::move(found->second.done);
-  // Kept until the call is over: it may be the timer that runs this.
+  // Kept alive until this function returns, because the timer may be its
+  // caller.
   std::unique_ptr<scoped_timer> timer = std::move(found->second.timer);
   pending_.erase(found);
   done(reply);
@@ -102,8 +104,8 @@
                                      send_result send)
     : upstreams_(upstreams), spec_(std::move(spec)), send_(std::move(send)) {}
 
-// A job that its caller left meanwhile is not started; the home gets its cancel
-// on the same link.
+// The task isn't started if the caller has left the job meanwhile; the home
+// receives the job's cancellation on the same link.
 void delegated_starter::OnStart(const instance_id& home,
                                 const delegated_start& delegated) {
   const std::string* spec =
--- a/src/runs/start_delegation.h
+++ b/src/runs/start_delegation.h
@@ -1,10 +1,11 @@
-// Starts that a home has jobs' owners send, each side's part.
+// Delegates start requests from a home to the owners of the jobs: the home's
+// side and the owner's side.
 //
-// A start carries the job's specification, once for each task. On a thin link
-// these bytes, not decisions, are what a home is short of: with 60 starts a
-// second of 1.7 KB each they took 40 % of 2 Mbit/s, and the answers of all
-// upstreams came too late. The owner has the specification already, and there
-// are many owners to one home.
+// A start request carries the job's specification, once for each task. On a
+// slow link the home runs out of bandwidth for these bytes first: 60 start
+// requests a second of 1.7 KB each took 40 % of 2 Mbit/s, and the replies of
+// all upstreams came too late. The owner already has the specification, and one
+// home serves many owners.
 
 #ifndef SRC_RUNS_START_DELEGATION_H_
 #define SRC_RUNS_START_DELEGATION_H_
@@ -22,15 +23,16 @@
 
 namespace jasminedyke {
 
-// The home's side: calls to upstreams, of which some starts go by way of the
-// job's owner. All that is proven by answers and their absence holds as if the
-// home had sent the start: the order has the home's token and its time limit.
+// The home's side: an upstream port that sends some start requests by way of
+// the job's owner. A reply, or the lack of one, proves the same as if the home
+// had sent the request itself, because the request carries the home's fencing
+// token and its time limit.
 class start_delegator : public upstream_port {
  public:
-  // False if there is no link.
+  // Returns false if there is no link to the owner.
   using send_start =
       std::function<bool(const instance_id&, const delegated_start&)>;
-  // Where an upstream listens; empty if it is not known.
+  // Returns the address of an upstream, or an empty string if it is unknown.
   using address_lookup = std::function<std::string(const upstream_id&)>;
 
   start_delegator(scheduler& clock,
@@ -50,7 +52,8 @@
   void Drop(const upstream_id& upstream) override;
 
   void OnResult(const instance_id& from, const delegated_start_result& result);
-  // What that owner was asked may have been sent or not.
+  // Reports an unknown outcome for each start request that was delegated to
+  // this owner: the owner may have sent it or not.
   void OnPeerDown(const instance_id& peer);
 
  private:
@@ -67,17 +70,20 @@
   upstream_port& direct_;
   address_lookup address_;
   send_start send_;
-  // From the clock on: no number is used again, by this process or the next one
-  // of this instance. An owner may answer to the next one what the earlier one
-  // asked; taken for another start's, it would make a task run twice.
+  // Counts up from the clock's value at the start of the process, so that a
+  // later process of this instance doesn't reuse a number. An owner may send
+  // the later process the result of a request of the earlier one; matched with
+  // another start request, that result would make a task run twice.
   uint64_t last_number_;
   std::map<uint64_t, pending_start> pending_;
 };
 
-// The owner's side.
+// The owner's side: adds the specification to delegated start requests, sends
+// them to the upstreams and returns the results.
 class delegated_starter {
  public:
-  // Null if that submission of the job is not open here.
+  // Returns the job's specification, or null if this submission of the job is
+  // not open here.
   using spec_lookup =
       std::function<const std::string*(const job_key&, submission_id)>;
   using send_result =
