--- a/src/runs/crash_record.cc
+++ b/src/runs/crash_record.cc
@@ -97,7 +97,7 @@
   return erased > 0;
 }
 
-bool crash_record::OnSuspectVanished(const task_name& task, time_point now) {
+bool crash_record::OnSuspectRunMissing(const task_name& task, time_point now) {
   return entries_.contains(task) && Add(task, {{{}, true}, now});
 }
 
@@ -168,13 +168,15 @@
   return suspect;
 }
 
-crash_suspicion crash_record::Of(const task_name& task, time_point now) const {
+crash_suspicion crash_record::SuspicionLevel(const task_name& task,
+                                             time_point now) const {
   auto found = entries_.find(task);
   return found == entries_.end() ? crash_suspicion::kNone
                                  : Judge(found->second, now);
 }
 
-duration crash_record::HeldFor(const task_name& task, time_point now) const {
+duration crash_record::RemainingHoldTime(const task_name& task,
+                                         time_point now) const {
   time_point until = now;
   auto found = entries_.find(task);
   if (found == entries_.end())
@@ -213,7 +215,7 @@
 crash_news crash_record::All(time_point now) const {
   crash_news news;
   for (const auto& [task, found] : entries_) {
-    if (Of(task, now) != crash_suspicion::kNone)
+    if (SuspicionLevel(task, now) != crash_suspicion::kNone)
       news.suspects.push_back(Describe(task, found));
   }
   for (const auto& [upstream, explained] : explained_)
--- a/src/runs/crash_record.h
+++ b/src/runs/crash_record.h
@@ -78,15 +78,15 @@
   // Of a run under an earlier home nothing is found. Of others that says
   // little, but that of a suspect probably took its upstream down. False if it
   // was none.
-  bool OnSuspectVanished(const task_name& task, time_point now);
+  bool OnSuspectRunMissing(const task_name& task, time_point now);
   // A run ended, and its upstream lives.
   void OnRunEnded(const task_name& task);
   // From another instance.
   void Take(const crash_news& news, time_point now);
 
-  crash_suspicion Of(const task_name& task, time_point now) const;
+  crash_suspicion SuspicionLevel(const task_name& task, time_point now) const;
   // Until a task that is held may be started again.
-  duration HeldFor(const task_name& task, time_point now) const;
+  duration RemainingHoldTime(const task_name& task, time_point now) const;
   // Empty if there are none.
   std::vector<task_loss> LossesOf(const task_name& task) const;
   // What others have not been told yet. At once, as the home may be lost next;
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -149,7 +149,7 @@
     task.demand = demand;
     if (is_new)
       task.queued_at = clock_.now();
-    if (auto end = claims_.TakeEarlyEnd(name)) {
+    if (auto end = claims_.TakeUnclaimedEnd(name)) {
       if (*end == run_end::kDone && demand.maybe_started) {
         job.ran = true;
         OnTaskDone(job, task);
@@ -389,7 +389,7 @@
   task_name name{job.key, 0, task.demand.position};
   reports_.LogHeld(name, crashes_.LossesOf(name));
   HandBack(job, run_refusal::kUpstreamsLost,
-           crashes_.HeldFor(name, clock_.now()));
+           crashes_.RemainingHoldTime(name, clock_.now()));
 }
 
 void run_home::OnNotStarted(upstream_session& session,
@@ -463,7 +463,7 @@
       if (task.phase != task_phase::kUnclear)
         continue;
       task.phase = task_phase::kQueued;
-      if (crashes_.OnSuspectVanished({key, 0, position}, clock_.now()))
+      if (crashes_.OnSuspectRunMissing({key, 0, position}, clock_.now()))
         TellCrashes();
     }
   }
@@ -589,7 +589,8 @@
 
 crash_suspicion run_home::SuspicionOf(const home_job& job,
                                       const home_task& task) const {
-  return crashes_.Of({job.key, 0, task.demand.position}, clock_.now());
+  return crashes_.SuspicionLevel({job.key, 0, task.demand.position},
+                                 clock_.now());
 }
 
 // Null if none is held.
@@ -627,7 +628,7 @@
 // and refuses jobs that can't be answered in time any more.
 void run_home::Sweep() {
   time_point now = clock_.now();
-  claims_.Sweep();
+  claims_.StopUnclaimed();
   for (auto& [peer, until] : orphaned_at_) {
     if (now < until)
       continue;
--- a/src/runs/upstream_life.cc
+++ b/src/runs/upstream_life.cc
@@ -40,7 +40,7 @@
     : upstream_life(scheduler, born) {
   follows = true;
   settled = before.settled;
-  runs = before.runs.Carried();
+  runs = before.runs.ForNextIncarnation();
 }
 
 // An answer to a call that was made in the present life comes from this one or
@@ -152,17 +152,17 @@
 bool upstream_life::MayBeginLater(const run_record& record,
                                   time_point now) const {
   return birth != upstream_birth() && !gone &&
-         (record.IsUnclear() || record.carried) &&
+         (record.IsUnconfirmed() || record.carried) &&
          now - record.since < kLongestOnTheWay;
 }
 
-std::vector<run_over> upstream_life::TakeAllOver(time_point now) {
-  std::vector<run_over> over;
+std::vector<ended_run> upstream_life::TakeAllOver(time_point now) {
+  std::vector<ended_run> over;
   for (const auto& [task, record] : runs.all()) {
     if (!MayBeginLater(record, now))
       over.push_back({task, record.run, false, record.seen});
   }
-  for (const run_over& each : over)
+  for (const ended_run& each : over)
     runs.Remove(each.task);
   return over;
 }
--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-bool IsOver(const run_record& record,
-            time_point sent,
-            const hold_reply& reply) {
-  if (!record.IsUnclear())
+bool HasEnded(const run_record& record,
+              time_point sent,
+              const hold_reply& reply) {
+  if (!record.IsUnconfirmed())
     return record.since < sent;
-  bool refused = record.refused_since && sent >= *record.refused_since;
-  bool too_late = !record.carried && IsOverAt(reply.clock, record.not_after);
-  return refused || too_late;
+  bool stopped = record.stop_confirmed_at && sent >= *record.stop_confirmed_at;
+  bool expired = !record.carried && IsOverAt(reply.clock, record.not_after);
+  return stopped || expired;
 }
 
 }  // namespace
@@ -31,14 +31,14 @@
   carried = false;
   if (listed.percent)
     NoteProgress(*listed.percent, now);
-  if (!IsUnclear())
+  if (!IsUnconfirmed())
     return;
   phase = run_phase::kRunning;
   since = now;
 }
 
 void run_record::NoteProgress(int percent, time_point now) {
-  // A reply that was overtaken shows an earlier state.
+  // A lower percentage comes from a reply that a newer one overtook.
   if (progress && percent < progress->percent)
     return;
   if (!progress || percent > progress->percent)
@@ -90,42 +90,44 @@
   });
 }
 
-bool upstream_runs::HasUnclear() const {
+bool upstream_runs::HasUnconfirmed() const {
   return std::ranges::any_of(
-      runs_, [](const auto& entry) { return entry.second.IsUnclear(); });
+      runs_, [](const auto& entry) { return entry.second.IsUnconfirmed(); });
 }
 
-std::vector<task_name> upstream_runs::InDoubt(time_point now,
-                                              duration patience) const {
-  std::vector<task_name> in_doubt;
+std::vector<task_name> upstream_runs::UnconfirmedLongerThan(
+    time_point now,
+    duration patience) const {
+  std::vector<task_name> unconfirmed;
   for (const auto& [task, record] : runs_) {
-    if (record.IsUnclear() &&
+    if (record.IsUnconfirmed() &&
         (record.carried || now - record.since >= patience))
-      in_doubt.push_back(task);
+      unconfirmed.push_back(task);
   }
-  return in_doubt;
+  return unconfirmed;
 }
 
-std::vector<run_over> upstream_runs::Unlisted(time_point sent,
-                                              const hold_reply& reply) const {
-  std::vector<run_over> over;
+std::vector<ended_run> upstream_runs::EndedRuns(time_point sent,
+                                                const hold_reply& reply) const {
+  std::vector<ended_run> ended;
   for (const auto& [task, record] : runs_) {
-    if (!IsListed(reply, task, record.run) && IsOver(record, sent, reply))
-      over.push_back({task, record.run, record.IsUnclear() && !record.carried});
+    if (!IsListed(reply, task, record.run) && HasEnded(record, sent, reply))
+      ended.push_back(
+          {task, record.run, record.IsUnconfirmed() && !record.carried});
   }
-  return over;
+  return ended;
 }
 
-upstream_runs upstream_runs::Carried() const {
+upstream_runs upstream_runs::ForNextIncarnation() const {
   upstream_runs carried;
   for (const auto& [task, record] : runs_) {
     if (record.seen)
       continue;
     run_record next = record;
-    if (next.IsUnclear())
-      next.phase = run_phase::kUnproven;
+    if (next.IsUnconfirmed())
+      next.phase = run_phase::kUnanswered;
     next.carried = true;
-    next.refused_since.reset();
+    next.stop_confirmed_at.reset();
     next.stop_in_flight = false;
     carried.Put(task, next);
   }
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -101,7 +101,7 @@
   ++lives_;
   std::unique_ptr<upstream_life> old = std::move(life_);
   life_ = std::make_unique<upstream_life>(clock_, birth, *old);
-  if (life_->runs.HasUnclear())
+  if (life_->runs.HasUnconfirmed())
     WatchStarts(times_.Patience(kStartPatience));
   upstream_loss loss{{info_.id, old->birth}, true, {}};
   for (const auto& [task, record] : old->runs.all()) {
@@ -199,7 +199,7 @@
     case start_result::kUnknown:
       NoteUnanswered();
       if (was_starting)
-        record.phase = run_phase::kUnproven;
+        record.phase = run_phase::kUnanswered;
       SendLook();
       return;
     case start_result::kNotSent:
@@ -267,23 +267,23 @@
 void upstream_session::OnStopAnswered(run_record& record, call_result result) {
   if (result == call_result::kUnknown)
     NoteUnanswered();
-  if (result != call_result::kOk || !record.IsUnclear())
+  if (result != call_result::kOk || !record.IsUnconfirmed())
     return;
-  record.refused_since = clock_.now();
+  record.stop_confirmed_at = clock_.now();
   SendLook();
 }
 
 void upstream_session::WatchStarts(duration pause) {
   life_->start_timer.StartAfter(pause, [this, pause] {
     CheckStarts();
-    if (life_->runs.HasUnclear())
+    if (life_->runs.HasUnconfirmed())
       WatchStarts(std::clamp(pause * 2, kStartRecheck, kLongestStartRecheck));
   });
 }
 
 void upstream_session::CheckStarts() {
-  std::vector<task_name> in_doubt =
-      life_->runs.InDoubt(clock_.now(), times_.Patience(kStartPatience));
+  std::vector<task_name> in_doubt = life_->runs.UnconfirmedLongerThan(
+      clock_.now(), times_.Patience(kStartPatience));
   if (in_doubt.empty())
     return;
   for (const task_name& task : in_doubt) {
@@ -301,9 +301,10 @@
 void upstream_session::RefuseUnlistedStarts(time_point sent,
                                             const hold_reply& reply) {
   duration patience = times_.Patience(kStartPatience);
-  for (const task_name& task : life_->runs.InDoubt(sent, patience)) {
+  for (const task_name& task :
+       life_->runs.UnconfirmedLongerThan(sent, patience)) {
     run_record* record = life_->runs.Find(task);
-    if (!record->refused_since && !IsListed(reply, task, record->run))
+    if (!record->stop_confirmed_at && !IsListed(reply, task, record->run))
       SendStop(*record, task);
   }
 }
@@ -544,9 +545,9 @@
 }
 
 void upstream_session::EndAll(run_end how) {
-  std::vector<run_over> ended = life_->TakeAllOver(clock_.now());
+  std::vector<ended_run> ended = life_->TakeAllOver(clock_.now());
   upstream_loss loss{{info_.id, life_->birth}, life_->gone, {}};
-  for (const run_over& over : ended)
+  for (const ended_run& over : ended)
     loss.runs.push_back({over.task, over.begun});
   if (life_->gone)
     TellFoundAgain(true);
@@ -554,7 +555,7 @@
     owner_.OnLost(*this, loss);
   if (!ended.empty() && !life_->gone)
     AddMissing(loss);
-  for (const run_over& over : ended)
+  for (const ended_run& over : ended)
     owner_.OnRunEnded(*this, over.task, over.run, how);
 }
 
@@ -595,7 +596,7 @@
 }
 
 void upstream_session::JudgeUnlisted(time_point sent, const hold_reply& reply) {
-  for (const run_over& over : life_->runs.Unlisted(sent, reply)) {
+  for (const ended_run& over : life_->runs.EndedRuns(sent, reply)) {
     // Gone by what the owner did when told of another one.
     if (!life_->runs.Find(over.task))
       continue;
