--- a/src/runs/admission_estimate.cc
+++ b/src/runs/admission_estimate.cc
@@ -12,7 +12,9 @@
   return FromSeconds(load.work_ahead / (load.cores * room_rate::kUsableShare));
 }
 
-bool IsHopeless(const job_outlook& outlook, duration wait, time_point now) {
+bool IsHopeless(const scheduling_criteria& outlook,
+                duration wait,
+                time_point now) {
   time_point ends = now + wait + outlook.longest_task;
   return ends > std::min(outlook.useful_until, outlook.limit);
 }
--- a/src/runs/admission_estimate.h
+++ b/src/runs/admission_estimate.h
@@ -27,7 +27,9 @@
 // True if the job should be refused now: by the estimate it would end so late
 // that it is likelier to run out of time than to be answered, and its caller
 // gains more by coming back than by waiting.
-bool IsHopeless(const job_outlook& outlook, duration wait, time_point now);
+bool IsHopeless(const scheduling_criteria& outlook,
+                duration wait,
+                time_point now);
 
 }  // namespace jasminedyke
 
--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -81,8 +81,8 @@
   return work;
 }
 
-job_outlook home_job::Outlook() const {
-  job_outlook outlook;
+scheduling_criteria home_job::Outlook() const {
+  scheduling_criteria outlook;
   outlook.objective = objective;
   outlook.useful_until = useful_until;
   outlook.limit = limit;
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -102,13 +102,13 @@
   double WaitingWork() const;
   // Of one step, on one upstream.
   int TasksOn(const upstream_id& upstream, uint32_t step) const;
-  job_outlook Outlook() const;
+  scheduling_criteria Outlook() const;
 };
 
 // A job with tasks that wait for room.
 struct waiting_job {
   job_rank rank;
-  job_outlook outlook;
+  scheduling_criteria outlook;
   // Core-seconds of the tasks that wait.
   double work = 0;
   home_job* job = nullptr;
--- a/src/runs/job_order.cc
+++ b/src/runs/job_order.cc
@@ -4,7 +4,7 @@
 
 namespace jasminedyke {
 
-job_rank RankJob(const job_outlook& outlook, time_point now) {
+job_rank RankJob(const scheduling_criteria& outlook, time_point now) {
   job_rank rank;
   rank.work_left = outlook.work_left;
   rank.priority = outlook.priority;
--- a/src/runs/job_order.h
+++ b/src/runs/job_order.h
@@ -10,7 +10,7 @@
 namespace jasminedyke {
 
 // What the order looks at.
-struct job_outlook {
+struct scheduling_criteria {
   time_point objective;
   // An answer after that is of no use any more.
   time_point useful_until;
@@ -43,7 +43,7 @@
 // work before the priority, urgent jobs of eight short tasks stood behind ever
 // new jobs of two tasks: at 105 % load 0.55 of them were in time, and 0.85 in
 // this order (tests/run_load).
-job_rank RankJob(const job_outlook& outlook, time_point now);
+job_rank RankJob(const scheduling_criteria& outlook, time_point now);
 
 }  // namespace jasminedyke
 
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -526,7 +526,7 @@
     double work = job.cancelled ? 0 : job.WaitingWork();
     if (work <= 0)
       continue;
-    job_outlook outlook = job.Outlook();
+    scheduling_criteria outlook = job.Outlook();
     waiting.push_back({RankJob(outlook, clock_.now()), outlook, work, &job});
   }
   std::ranges::sort(waiting, {}, &waiting_job::rank);
