--- a/src/runs/home_room.cc
+++ b/src/runs/home_room.cc
@@ -17,7 +17,7 @@
   rate_.Look(now, sight.done, sight.cores, !sight.waiting.empty());
   ahead_ = {};
   for (const waiting_job& each : sight.waiting) {
-    if (each.rank.chance == job_chance::kInTime)
+    if (each.rank.lateness == job_lateness::kOnTime)
       ahead_.Add(each.rank.priority, each.work);
   }
   cores_ = sight.cores;
--- a/src/runs/job_order.cc
+++ b/src/runs/job_order.cc
@@ -10,9 +10,9 @@
   rank.priority = outlook.priority;
   time_point ends = now + outlook.longest_task;
   if (ends > std::min(outlook.limit, outlook.useful_until))
-    rank.chance = job_chance::kLost;
+    rank.lateness = job_lateness::kLost;
   else if (ends > outlook.objective)
-    rank.chance = job_chance::kLate;
+    rank.lateness = job_lateness::kLate;
   return rank;
 }
 
--- a/src/runs/job_order.h
+++ b/src/runs/job_order.h
@@ -24,14 +24,14 @@
   int priority = 0;
 };
 
-enum class job_chance {
-  kInTime,  // can still meet its objective
+enum class job_lateness {
+  kOnTime,  // can still meet its objective
   kLate,    // can only be answered late
   kLost,    // would end when its answer is of no use any more
 };
 
 struct job_rank {
-  job_chance chance = job_chance::kInTime;
+  job_lateness lateness = job_lateness::kOnTime;
   int priority = 0;
   double work_left = 0;
 
--- a/tests/home_room/home_room_test.cc
+++ b/tests/home_room/home_room_test.cc
@@ -20,8 +20,8 @@
 struct room_fixture {
   void Wait(int priority,
             double work,
-            job_chance chance = job_chance::kInTime) {
-    waiting.push_back({{chance, priority, work}, {}, work, &job});
+            job_lateness lateness = job_lateness::kOnTime) {
+    waiting.push_back({{lateness, priority, work}, {}, work, &job});
   }
 
   void Look(duration passed = kLook) {
@@ -57,7 +57,7 @@
   room_fixture f;
   f.Wait(1, 4);
   f.Wait(2, 8);
-  f.Wait(1, 100, job_chance::kLate);
+  f.Wait(1, 100, job_lateness::kLate);
   f.Look();
   CHECK(f.room.WaitOf(0) == duration::zero());
   CHECK(ToSeconds(f.room.WaitOf(1)) == doctest::Approx(0.5));
