--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -28,7 +28,7 @@
                            &task_report::position) != unreported.end();
 }
 
-bool home_job::IsUntouched() const {
+bool home_job::HasNotStarted() const {
   return !ran && std::ranges::none_of(tasks, [](const auto& entry) {
     return entry.second.phase == task_phase::kOrdered;
   });
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -88,7 +88,7 @@
   // It is done, and the owner does not know yet.
   bool IsUnreported(const home_task& task) const;
   // No task has begun or can still begin.
-  bool IsUntouched() const;
+  bool HasNotStarted() const;
   // How long the task takes on a sound upstream, as far as is known.
   duration Expected(const home_task& task) const;
   // 0 if none of its tasks is done.
--- a/src/runs/home_reports.cc
+++ b/src/runs/home_reports.cc
@@ -139,7 +139,7 @@
            {{"job", job.key.str()},
             {"owner", job.owner.str()},
             {"reason", ToString(reason)},
-            {"not_run", job.IsUntouched() ? 1 : 0},
+            {"not_run", job.HasNotStarted() ? 1 : 0},
             {"retry_after_ms", ToMilliseconds(retry_after)},
             {"to_objective_ms", ToMilliseconds(to_objective)},
             {"token", token.value()}});
@@ -153,7 +153,7 @@
   run_report report{job.key, job.request.submission, {}};
   report.refusal = reason;
   report.sending = job.request.sending;
-  report.not_run = job.IsUntouched();
+  report.not_run = job.HasNotStarted();
   report.retry_after = retry_after;
   send_(job.owner, report);
 }
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -486,7 +486,7 @@
     placer_.Refresh();
   for (const waiting_job& waiting : in_order) {
     home_job& job = *waiting.job;
-    start_permit permit = gate_.Permit(!job.IsUntouched(), clock_.now());
+    start_permit permit = gate_.Permit(!job.HasNotStarted(), clock_.now());
     if (permit == start_permit::kHandBack)
       HandBack(job, run_refusal::kDrained, kLeastRetryAfter);
     if (permit != start_permit::kStart || !CanStart(job))
@@ -495,7 +495,8 @@
       GiveUp(job, *held);
       continue;
     }
-    if (job.request.may_pass && job.IsUntouched() && !placer_.HasPlacesFor(job))
+    if (job.request.may_pass && job.HasNotStarted() &&
+        !placer_.HasPlacesFor(job))
       PassOn(job);
     else if (job.IsRejected(kMostRejections) ||
              (!PlaceTasks(job) && job.IsRejected(1)))
@@ -659,7 +660,7 @@
   for (waiting_job& each : waiting) {
     home_job& job = *each.job;
     bool hopeless =
-        job.IsUntouched() &&
+        job.HasNotStarted() &&
         IsHopeless(each.outlook, EstimateWait(load) + delay, clock_.now());
     if (!hopeless) {
       load.work_ahead += each.work;
