--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -63,7 +63,7 @@
   return others.empty() ? 0 : others[(others.size() - 1) / 2];
 }
 
-void home_job::NotePace(const task_pace& of_task) {
+void home_job::AddPace(const task_pace& of_task) {
   if (paces.size() >= kMaxPaces || of_task.pace <= 0)
     return;
   paces.insert(
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -95,7 +95,7 @@
   double Pace() const;
   // By what other upstreams have run.
   double PaceWithout(const upstream_id& upstream) const;
-  void NotePace(const task_pace& of_task);
+  void AddPace(const task_pace& of_task);
   // A task that waits was refused so often as malformed.
   bool IsRejected(int times) const;
   // Core-seconds of the tasks that wait for room.
--- a/src/runs/run_times.cc
+++ b/src/runs/run_times.cc
@@ -122,7 +122,7 @@
                         now);
   duration reference = model_.Reference(queue, task.demand.estimate);
   if (reference > duration::zero())
-    job.NotePace({ToSeconds(at_usual_speed) / ToSeconds(reference), where.id});
+    job.AddPace({ToSeconds(at_usual_speed) / ToSeconds(reference), where.id});
   model_.Learn(queue, task.demand.estimate, at_usual_speed, now);
 }
 
--- a/tests/stuck_runs/stuck_runs_test.cc
+++ b/tests/stuck_runs/stuck_runs_test.cc
@@ -164,12 +164,12 @@
   home_job job;
   CHECK(job.Pace() == 0);
   upstream_id slow("slow");
-  job.NotePace({4, slow});
-  job.NotePace({4.2, slow});
+  job.AddPace({4, slow});
+  job.AddPace({4.2, slow});
   CHECK(job.Pace() == 4);
   CHECK(job.PaceWithout(slow) == 0);
-  job.NotePace({1.1, upstream_id("a")});
-  job.NotePace({1.3, upstream_id("b")});
+  job.AddPace({1.1, upstream_id("a")});
+  job.AddPace({1.3, upstream_id("b")});
   CHECK(job.Pace() == 1.3);
   CHECK(job.PaceWithout(slow) == 1.1);
 }
