--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -49,12 +49,12 @@
 }
 
 double home_job::Pace() const {
-  return PaceWithout({});
+  return MedianPaceExcluding({});
 }
 
 // The lower median: one task that is long, or ran where everything is slow,
 // does not make the job's others look long.
-double home_job::PaceWithout(const upstream_id& upstream) const {
+double home_job::MedianPaceExcluding(const upstream_id& upstream) const {
   std::vector<double> others;
   for (const task_pace& each : paces) {
     if (each.upstream != upstream)
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -94,7 +94,7 @@
   // 0 if none of its tasks is done.
   double Pace() const;
   // By what other upstreams have run.
-  double PaceWithout(const upstream_id& upstream) const;
+  double MedianPaceExcluding(const upstream_id& upstream) const;
   void AddPace(const task_pace& of_task);
   // A task that waits was refused so often as malformed.
   bool IsRejected(int times) const;
--- a/src/runs/run_times.cc
+++ b/src/runs/run_times.cc
@@ -21,7 +21,7 @@
 run_expectation run_times::Expect(const home_job& job,
                                   const home_task& task) const {
   return model_.Expect(job.request.queue, task.demand.estimate,
-                       job.PaceWithout(task.upstream));
+                       job.MedianPaceExcluding(task.upstream));
 }
 
 run_expectation run_times::ExpectThere(const home_job& job,
@@ -79,7 +79,7 @@
     return false;
   // Tasks of one job may all be long, unless others of it were not.
   task_name shown_by{job.key, 0, {}};
-  bool pace_known = job.PaceWithout(where.id) > 0;
+  bool pace_known = job.MedianPaceExcluding(where.id) > 0;
   if (pace_known)
     shown_by.position = task.demand.position;
   upstreams_.Standing(where.id).OnSlow(
@@ -117,7 +117,7 @@
   // What a bad upstream does to its runs says nothing about the tasks.
   if (!standing.good())
     return;
-  if (job.PaceWithout(where.id) > 0 && usual > duration::zero())
+  if (job.MedianPaceExcluding(where.id) > 0 && usual > duration::zero())
     model_.LearnSibling(queue, ToSeconds(at_usual_speed) / ToSeconds(usual),
                         now);
   duration reference = model_.Reference(queue, task.demand.estimate);
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -152,7 +152,7 @@
   sight.expected.longest = Times(
       sight.expected.longest,
       std::pow(kAllowedAgain, std::min(task.stopped_as_long, kMostAllowances)));
-  sight.pace_known = job.PaceWithout(task.upstream) > 0;
+  sight.pace_known = job.MedianPaceExcluding(task.upstream) > 0;
   sight.adopted = task.adopted;
   sight.asked = task.asked_at > task.ordered_at &&
                 clock_.now() - task.asked_at >= answers_.Patience(kAnswerTime);
--- a/tests/stuck_runs/stuck_runs_test.cc
+++ b/tests/stuck_runs/stuck_runs_test.cc
@@ -167,11 +167,11 @@
   job.AddPace({4, slow});
   job.AddPace({4.2, slow});
   CHECK(job.Pace() == 4);
-  CHECK(job.PaceWithout(slow) == 0);
+  CHECK(job.MedianPaceExcluding(slow) == 0);
   job.AddPace({1.1, upstream_id("a")});
   job.AddPace({1.3, upstream_id("b")});
   CHECK(job.Pace() == 1.3);
-  CHECK(job.PaceWithout(slow) == 1.1);
+  CHECK(job.MedianPaceExcluding(slow) == 1.1);
 }
 
 TEST_CASE("stuck_runs: without progress only the time tells") {
