--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -42,13 +42,13 @@
 }
 
 duration home_job::Expected(const home_task& task) const {
-  double pace = Pace();
+  double pace = MedianPace();
   if (pace == 0)
     return task.demand.estimate;
   return Times(task.demand.estimate, pace);
 }
 
-double home_job::Pace() const {
+double home_job::MedianPace() const {
   return MedianPaceExcluding({});
 }
 
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -92,7 +92,7 @@
   // How long the task takes on a sound upstream, as far as is known.
   duration Expected(const home_task& task) const;
   // 0 if none of its tasks is done.
-  double Pace() const;
+  double MedianPace() const;
   // By what other upstreams have run.
   double MedianPaceExcluding(const upstream_id& upstream) const;
   void AddPace(const task_pace& of_task);
--- a/tests/stuck_runs/stuck_runs_test.cc
+++ b/tests/stuck_runs/stuck_runs_test.cc
@@ -162,15 +162,15 @@
 
 TEST_CASE("home_job: its pace is not that of one upstream") {
   home_job job;
-  CHECK(job.Pace() == 0);
+  CHECK(job.MedianPace() == 0);
   upstream_id slow("slow");
   job.AddPace({4, slow});
   job.AddPace({4.2, slow});
-  CHECK(job.Pace() == 4);
+  CHECK(job.MedianPace() == 4);
   CHECK(job.MedianPaceExcluding(slow) == 0);
   job.AddPace({1.1, upstream_id("a")});
   job.AddPace({1.3, upstream_id("b")});
-  CHECK(job.Pace() == 1.3);
+  CHECK(job.MedianPace() == 1.3);
   CHECK(job.MedianPaceExcluding(slow) == 1.1);
 }
 
