--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -41,7 +41,7 @@
   });
 }
 
-duration home_job::Expected(const home_task& task) const {
+duration home_job::ExpectedDuration(const home_task& task) const {
   double pace = MedianPace();
   if (pace == 0)
     return task.demand.estimate;
@@ -90,7 +90,8 @@
   for (const auto& [position, task] : tasks) {
     if (task.phase == task_phase::kDone)
       continue;
-    outlook.longest_task = std::max(outlook.longest_task, Expected(task));
+    outlook.longest_task =
+        std::max(outlook.longest_task, ExpectedDuration(task));
     outlook.work_left += CoreSeconds(task.demand);
   }
   return outlook;
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -90,7 +90,7 @@
   // No task has begun or can still begin.
   bool HasNotStarted() const;
   // How long the task takes on a sound upstream, as far as is known.
-  duration Expected(const home_task& task) const;
+  duration ExpectedDuration(const home_task& task) const;
   // 0 if none of its tasks is done.
   double MedianPace() const;
   // By what other upstreams have run.
--- a/src/runs/task_placer.cc
+++ b/src/runs/task_placer.cc
@@ -92,7 +92,7 @@
 
 bool task_placer::PaysOffRack(const home_job& job,
                               const home_task& task) const {
-  duration near = job.Expected(task);
+  duration near = job.ExpectedDuration(task);
   duration away = Times(near, kOffRackSlowdown);
   time_point now = clock_.now();
   return now + away <= job.objective || now + near > job.objective;
@@ -115,7 +115,7 @@
     if (session)
       end = std::max(end,
                      other.ordered_at +
-                         FromSeconds(ToSeconds(job.Expected(other)) /
+                         FromSeconds(ToSeconds(job.ExpectedDuration(other)) /
                                      upstreams_.speeds().Of(session->info())));
   }
   return end;
@@ -128,7 +128,8 @@
   duration left = end - clock_.now();
   if (left <= duration::zero() || classes_.empty())
     return kNone;
-  double least = ToSeconds(job.Expected(task)) * kMargin / ToSeconds(left);
+  double least =
+      ToSeconds(job.ExpectedDuration(task)) * kMargin / ToSeconds(left);
   return least > SpeedOf(classes_.rbegin()->first) ? kNone : least;
 }
 
