--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -97,7 +97,7 @@
   return outlook;
 }
 
-int home_job::TasksOn(const upstream_id& upstream, uint32_t step) const {
+int home_job::OrderedTasksOn(const upstream_id& upstream, uint32_t step) const {
   return static_cast<int>(std::ranges::count_if(tasks, [&](const auto& entry) {
     const home_task& task = entry.second;
     return entry.first.step == step && task.phase == task_phase::kOrdered &&
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -101,7 +101,7 @@
   // Core-seconds of the tasks that wait for room.
   double WaitingWork() const;
   // Of one step, on one upstream.
-  int TasksOn(const upstream_id& upstream, uint32_t step) const;
+  int OrderedTasksOn(const upstream_id& upstream, uint32_t step) const;
   scheduling_criteria Outlook() const;
 };
 
--- a/src/runs/task_placer.cc
+++ b/src/runs/task_placer.cc
@@ -24,7 +24,7 @@
       !info.labels.contains(task.demand.required_label))
     return false;
   return task.demand.max_per_upstream == 0 ||
-         job.TasksOn(info.id, task.demand.position.step) <
+         job.OrderedTasksOn(info.id, task.demand.position.step) <
              task.demand.max_per_upstream;
 }
 
