--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -55,7 +55,7 @@
   // Runs that were stopped for their length alone.
   int stopped_as_long = 0;
   // Not to be tried again where it has just failed or got stuck.
-  upstream_id avoid;
+  upstream_id avoided_upstream;
 };
 
 // How long a task took at usual speed, over the caller's guess or, without one,
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -320,7 +320,7 @@
 
 void run_home::OnTaskFailed(home_job& job, home_task& task) {
   task.failures.push_back({task.upstream, task.last_run});
-  task.avoid = task.upstream;
+  task.avoided_upstream = task.upstream;
   if (std::ssize(task.failures) < job.request.max_attempts) {
     Requeue(job, task);
     return;
@@ -414,7 +414,7 @@
     job->owner_gone = true;
   if (why == start_result::kNotAccepted) {
     ++task->rejections;
-    task->avoid = session.info().id;
+    task->avoided_upstream = session.info().id;
   }
   Requeue(*job, *task);
   DropIfOver(name.job);
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -207,7 +207,7 @@
                       stuck_evidence evidence) {
   ++stopped_[evidence];
   task.stopping = true;
-  task.avoid = task.upstream;
+  task.avoided_upstream = task.upstream;
   LogEvent(log_level::kInfo, "run_stuck",
            {{"job", job.key.str()},
             {"task", task.demand.position.index},
--- a/src/runs/task_placer.cc
+++ b/src/runs/task_placer.cc
@@ -159,7 +159,7 @@
   for (open_upstream& open : open_) {
     const upstream_session& session = *open.session;
     if (!task.demand.need.Fits(open.room) || !MayRun(session, job, task) ||
-        session.info().id == task.avoid)
+        session.info().id == task.avoided_upstream)
       continue;
     double slowness = RackSlowdown(session.info(), task);
     // Away from its data it waits for room near them, unless it is in time or
