--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -51,7 +51,7 @@
   bool adopted = false;
   // When its upstream was first asked how far it is; before `ordered_at` if
   // not.
-  time_point asked_at;
+  time_point progress_asked_at;
   // Runs that were stopped for their length alone.
   int stopped_as_long = 0;
   // Not to be tried again where it has just failed or got stuck.
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -125,8 +125,8 @@
     return;
   run_judgement judgement = JudgeRun(Look(job, task, *session));
   if (judgement.ask) {
-    if (task.asked_at < task.ordered_at)
-      task.asked_at = clock_.now();
+    if (task.progress_asked_at < task.ordered_at)
+      task.progress_asked_at = clock_.now();
     session->Look();
   }
   switch (judgement.state) {
@@ -154,8 +154,9 @@
       std::pow(kAllowedAgain, std::min(task.stopped_as_long, kMostAllowances)));
   sight.pace_known = job.MedianPaceExcluding(task.upstream) > 0;
   sight.adopted = task.adopted;
-  sight.asked = task.asked_at > task.ordered_at &&
-                clock_.now() - task.asked_at >= answers_.Patience(kAnswerTime);
+  sight.asked =
+      task.progress_asked_at > task.ordered_at &&
+      clock_.now() - task.progress_asked_at >= answers_.Patience(kAnswerTime);
   auto progress = session.Progress({job.key, 0, task.demand.position});
   // An adopted run may have been listed before it was claimed.
   if (progress && progress->listed > task.ordered_at) {
