--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -53,7 +53,7 @@
   // not.
   time_point progress_asked_at;
   // Runs that were stopped for their length alone.
-  int stopped_as_long = 0;
+  int overlong_stops = 0;
   // Not to be tried again where it has just failed or got stuck.
   upstream_id avoided_upstream;
 };
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -151,7 +151,7 @@
   sight.expected = times_.ExpectThere(job, task);
   sight.expected.longest = Times(
       sight.expected.longest,
-      std::pow(kAllowedAgain, std::min(task.stopped_as_long, kMostAllowances)));
+      std::pow(kAllowedAgain, std::min(task.overlong_stops, kMostAllowances)));
   sight.pace_known = job.MedianPaceExcluding(task.upstream) > 0;
   sight.adopted = task.adopted;
   sight.asked =
@@ -198,7 +198,7 @@
   if (ends_anew >= std::min(job.useful_until, job.limit))
     return;
   if (evidence != stuck_evidence::kProgress)
-    ++task.stopped_as_long;
+    ++task.overlong_stops;
   Stop(job, task, session, evidence);
 }
 
