--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -100,7 +100,7 @@
           [this](fencing_token token) { OnHomeBegins(token); },
           [this] { OnHomeEnds(); }});
   members_ = std::make_unique<member_registry>(clock, store, self);
-  home_->OnCrashNews([this](const crash_news& news) { SendToAll(news); });
+  home_->SetCrashHandler([this](const crash_news& news) { SendToAll(news); });
   home_->SetDomainState(drains_.StateOf(self_.domain));
   peers_.SetListener(this);
   members_->Register();
--- a/src/runs/run_home.h
+++ b/src/runs/run_home.h
@@ -92,7 +92,7 @@
   void SetDomainState(domain_state state);
 
   // `tell` has what other instances should know of tasks that crash upstreams.
-  void OnCrashNews(crash_handler tell) { tell_crashes_ = std::move(tell); }
+  void SetCrashHandler(crash_handler tell) { tell_crashes_ = std::move(tell); }
   void TakeCrashNews(const crash_news& news);
   crash_news CrashSuspects() const { return crashes_.All(clock_.now()); }
 
--- a/tests/run_home/failed_verdict_test.cc
+++ b/tests/run_home/failed_verdict_test.cc
@@ -89,7 +89,7 @@
   // reach counting as lost under their tasks.
   verdict_fixture f;
   crash_news told;
-  f.home.OnCrashNews([&told](const crash_news& news) { told = news; });
+  f.home.SetCrashHandler([&told](const crash_news& news) { told = news; });
   bool first_is_busy = f.StartsOn("u1") > 0;
   fake_upstream& other = f.Idle();
   f.Busy().down = true;
