--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -415,7 +415,7 @@
           [&](const home_status& m) { TakeHomeStatus(from, m); },
           [&](const upstream_news& m) { TakeUpstreamNews(from, m); },
           [&](const drained_domains& m) { TakeDrainedDomains(from, m); },
-          [&](const crash_news& m) { home_->TakeCrashNews(m); },
+          [&](const crash_news& m) { home_->AddCrashNews(m); },
           [&](const speed_news& m) { TakeSpeedNews(from, m); },
           [&](const peer_status& m) { TakeStatus(from, m); },
           [&](const document_request& m) { TakeRequest(from, m); },
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -379,7 +379,7 @@
     tell_crashes_(news);
 }
 
-void run_home::TakeCrashNews(const crash_news& news) {
+void run_home::AddCrashNews(const crash_news& news) {
   crashes_.Take(news, clock_.now());
 }
 
--- a/src/runs/run_home.h
+++ b/src/runs/run_home.h
@@ -93,7 +93,7 @@
 
   // `tell` has what other instances should know of tasks that crash upstreams.
   void SetCrashHandler(crash_handler tell) { tell_crashes_ = std::move(tell); }
-  void TakeCrashNews(const crash_news& news);
+  void AddCrashNews(const crash_news& news);
   crash_news CrashSuspects() const { return crashes_.All(clock_.now()); }
 
   void OnRequest(const instance_id& from, const run_request& request);
