--- a/src/runs/run_home.h
+++ b/src/runs/run_home.h
@@ -66,7 +66,7 @@
     // What this instance's network link carries each way; 0 if not known.
     double link_bytes_per_second = 0;
     // Of jobs that have begun when operators drain the failure domain.
-    duration finish_time = duration::zero();
+    duration drain_grace_period = duration::zero();
     placement_rule placement = placement_rule::kLeastSlack;
   };
 
--- a/src/runs/start_gate.h
+++ b/src/runs/start_gate.h
@@ -16,14 +16,15 @@
 };
 
 // A job that has begun when a drain comes may finish: its other tasks start
-// within `finish_time`, else its work would be thrown away and its caller get
-// no answer. Jobs that have not begun go elsewhere at once.
+// within `drain_grace_period`, else its work would be thrown away and its
+// caller get no answer. Jobs that have not begun go elsewhere at once.
 //
 // A home that did not serve when it learnt of the drain finishes nothing: it
 // can't tell how long ago the drain was ordered.
 class start_gate {
  public:
-  explicit start_gate(duration finish_time) : finish_time_(finish_time) {}
+  explicit start_gate(duration drain_grace_period)
+      : finish_time_(drain_grace_period) {}
 
   void Set(domain_state state, time_point now);
   // Another process may have served the domain in between.
--- a/tests/domain_drains/domain_drains_test.cc
+++ b/tests/domain_drains/domain_drains_test.cc
@@ -21,7 +21,7 @@
 // of the tests' tasks fit.
 struct two_domains : run_nodes {
   explicit two_domains(duration run_time = milliseconds(50)) {
-    home_settings.finish_time = kFinishTime;
+    home_settings.drain_grace_period = kFinishTime;
     estimate = run_time;
     for (const char* domain : {"north", "south"}) {
       for (int i = 0; i < 4; ++i) {
