--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -6,16 +6,17 @@
 
 namespace {
 
-// Enough for a median that single tasks don't move.
+// The number of paces kept per job: enough for a median that single tasks
+// don't shift.
 constexpr size_t kMaxPaces = 9;
-// Core-seconds; of a task whose caller has no guess.
-constexpr double kLeastWork = 0.001;
+// The work assumed for a task whose caller gave no estimate of its run time.
+constexpr double kMinTaskCoreSeconds = 0.001;
 
 }  // namespace
 
-double RackSlowdown(const upstream_info& where, const home_task& task) {
-  bool near = task.demand.rack.empty() || where.rack == task.demand.rack;
-  return near ? 1 : kOffRackSlowdown;
+double RackSlowdown(const upstream_info& upstream, const home_task& task) {
+  bool on_rack = task.demand.rack.empty() || upstream.rack == task.demand.rack;
+  return on_rack ? 1 : kOffRackSlowdown;
 }
 
 double CoreSeconds(const task_demand& demand) {
@@ -29,15 +30,15 @@
 }
 
 bool home_job::HasNotStarted() const {
-  return !ran && std::ranges::none_of(tasks, [](const auto& entry) {
+  return !may_have_run && std::ranges::none_of(tasks, [](const auto& entry) {
     return entry.second.phase == task_phase::kOrdered;
   });
 }
 
-bool home_job::IsRejected(int times) const {
-  return std::ranges::any_of(tasks, [times](const auto& entry) {
+bool home_job::HasRejectedTask(int min_rejections) const {
+  return std::ranges::any_of(tasks, [min_rejections](const auto& entry) {
     return entry.second.phase == task_phase::kQueued &&
-           entry.second.rejections >= times;
+           entry.second.rejections >= min_rejections;
   });
 }
 
@@ -52,8 +53,8 @@
   return MedianPaceExcluding({});
 }
 
-// The lower median: one task that is long, or ran where everything is slow,
-// does not make the job's others look long.
+// Uses the lower median, so that one task that is long or ran on a slow
+// upstream does not raise the expected run time of the job's other tasks.
 double home_job::MedianPaceExcluding(const upstream_id& upstream) const {
   std::vector<double> others;
   for (const task_pace& each : paces) {
@@ -63,38 +64,38 @@
   return others.empty() ? 0 : others[(others.size() - 1) / 2];
 }
 
-void home_job::AddPace(const task_pace& of_task) {
-  if (paces.size() >= kMaxPaces || of_task.pace <= 0)
+void home_job::AddPace(const task_pace& finished) {
+  if (paces.size() >= kMaxPaces || finished.pace <= 0)
     return;
   paces.insert(
-      std::ranges::upper_bound(paces, of_task.pace, {}, &task_pace::pace),
-      of_task);
+      std::ranges::upper_bound(paces, finished.pace, {}, &task_pace::pace),
+      finished);
 }
 
-// A task without a guess of its run time still waits.
-double home_job::WaitingWork() const {
+// A task without an estimate of its run time counts as waiting work, too.
+double home_job::QueuedWork() const {
   double work = 0;
   for (const auto& [position, task] : tasks) {
     if (task.phase == task_phase::kQueued)
-      work += std::max(CoreSeconds(task.demand), kLeastWork);
+      work += std::max(CoreSeconds(task.demand), kMinTaskCoreSeconds);
   }
   return work;
 }
 
-scheduling_criteria home_job::Outlook() const {
-  scheduling_criteria outlook;
-  outlook.objective = objective;
-  outlook.useful_until = useful_until;
-  outlook.limit = limit;
-  outlook.priority = request.priority;
+scheduling_criteria home_job::SchedulingCriteria() const {
+  scheduling_criteria criteria;
+  criteria.objective = objective;
+  criteria.useful_until = useful_until;
+  criteria.limit = limit;
+  criteria.priority = request.priority;
   for (const auto& [position, task] : tasks) {
     if (task.phase == task_phase::kDone)
       continue;
-    outlook.longest_task =
-        std::max(outlook.longest_task, ExpectedDuration(task));
-    outlook.work_left += CoreSeconds(task.demand);
+    criteria.longest_task =
+        std::max(criteria.longest_task, ExpectedDuration(task));
+    criteria.remaining_work += CoreSeconds(task.demand);
   }
-  return outlook;
+  return criteria;
 }
 
 int home_job::OrderedTasksOn(const upstream_id& upstream, uint32_t step) const {
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -1,4 +1,4 @@
-// A job at its home: what has become of its tasks, and what is still to do.
+// The state of a job and of its tasks at their home.
 
 #ifndef SRC_RUNS_HOME_JOB_H_
 #define SRC_RUNS_HOME_JOB_H_
@@ -16,13 +16,14 @@
 
 enum class task_phase {
   kQueued,
-  // Asked of an earlier home: it waits until all upstreams are settled.
-  kUnclear,
+  // May have been started by an earlier home, so it waits until all upstreams
+  // are settled.
+  kMaybeStarted,
   kOrdered,  // on an upstream: starting, running or being stopped
   kDone,
 };
 
-// An end that counted as an attempt of its task.
+// A run that failed and counts as one of its task's attempts.
 struct failed_run {
   upstream_id upstream;
   uint64_t run = 0;
@@ -32,34 +33,35 @@
   task_demand demand;
   task_phase phase = task_phase::kQueued;
   time_point queued_at;
-  // When it was ordered first, whatever became of that.
+  // When the task was first ordered, whether or not that order was carried out.
   time_point first_ordered_at;
-  // The last number that was used, 0 if none.
+  // The highest run number used so far; 0 if there has been no run.
   uint64_t last_run = 0;
   std::vector<failed_run> failures;
-  // Orders that an upstream refused as malformed.
+  // The number of orders that upstreams refused as malformed.
   int rejections = 0;
-  // While `kOrdered`.
+  // These three are valid only in phase `kOrdered`.
   upstream_id upstream;
   time_point ordered_at;
   bool stopping = false;
-  // While `kDone`.
+  // Valid only in phase `kDone`.
   time_point ended_at;
-  // Calls to its upstream stayed unanswered during its last run.
+  // Calls to the task's upstream went unanswered during its last run.
   bool answers_lost = false;
-  // Began under an earlier home; nobody here knows when.
+  // The run was started by an earlier home, so its start time is not known.
   bool adopted = false;
-  // When its upstream was first asked how far it is; before `ordered_at` if
-  // not.
+  // When the upstream was first asked for the run's progress. A time before
+  // `ordered_at` means that it has not been asked about the current run.
   time_point progress_asked_at;
-  // Runs that were stopped for their length alone.
+  // The number of runs that were stopped only because they took too long.
   int overlong_stops = 0;
-  // Not to be tried again where it has just failed or got stuck.
+  // Excluded from the next placement, as the task has just failed, got stuck or
+  // been rejected there.
   upstream_id avoided_upstream;
 };
 
-// How long a task took at usual speed, over the caller's guess or, without one,
-// what is usual in its queue.
+// The ratio of a task's run time, scaled to an upstream of usual speed, to the
+// caller's estimate or, without one, to the usual run time in its queue.
 struct task_pace {
   double pace = 0;
   upstream_id upstream;
@@ -73,55 +75,61 @@
   time_point useful_until;
   time_point limit;
   std::map<task_position, home_task> tasks;
-  // Of its tasks that are done, a bounded number, by rising pace.
+  // The paces of a bounded number of finished tasks, sorted in ascending order.
   std::vector<task_pace> paces;
-  // A task began, or may have begun under an earlier home.
-  bool ran = false;
-  // Ends that its owner has not been told of yet.
+  // A task has begun, or may have begun under an earlier home.
+  bool may_have_run = false;
+  // Ends of tasks that have not been reported to the owner yet.
   std::vector<task_report> unreported;
-  // Its owner was to send a start and did not; it sends the job again or
+  // The owner was asked to send a start and did not. It sends the job again or
   // cancels it.
   bool owner_gone = false;
-  // Nobody waits for it; it goes when its last run has ended.
+  // Nobody waits for the job any more. It is erased once its last run has
+  // ended.
   bool cancelled = false;
 
-  // It is done, and the owner does not know yet.
+  // True if the task has ended and the owner has not been told yet.
   bool IsUnreported(const home_task& task) const;
-  // No task has begun or can still begin.
+  // True if no task has begun and none has been ordered from an upstream.
   bool HasNotStarted() const;
-  // How long the task takes on a sound upstream, as far as is known.
+  // The expected run time of the task on a healthy upstream: the caller's
+  // estimate, scaled by the pace of the job's finished tasks.
   duration ExpectedDuration(const home_task& task) const;
-  // 0 if none of its tasks is done.
+  // The lower median of the recorded paces; 0 if there are none.
   double MedianPace() const;
-  // By what other upstreams have run.
+  // The lower median of the paces recorded on upstreams other than `upstream`;
+  // 0 if there are none.
   double MedianPaceExcluding(const upstream_id& upstream) const;
-  void AddPace(const task_pace& of_task);
-  // A task that waits was refused so often as malformed.
-  bool IsRejected(int times) const;
-  // Core-seconds of the tasks that wait for room.
-  double WaitingWork() const;
-  // Of one step, on one upstream.
+  void AddPace(const task_pace& finished);
+  // True if upstreams refused a queued task as malformed at least
+  // `min_rejections` times.
+  bool HasRejectedTask(int min_rejections) const;
+  // The core-seconds of the tasks that wait for room.
+  double QueuedWork() const;
+  // The number of the step's tasks that are ordered on `upstream`.
   int OrderedTasksOn(const upstream_id& upstream, uint32_t step) const;
-  scheduling_criteria Outlook() const;
+  scheduling_criteria SchedulingCriteria() const;
 };
 
 // A job with tasks that wait for room.
 struct waiting_job {
   job_rank rank;
-  scheduling_criteria outlook;
-  // Core-seconds of the tasks that wait.
+  scheduling_criteria criteria;
+  // The core-seconds of the queued tasks.
   double work = 0;
   home_job* job = nullptr;
 };
 
 using home_job_map = std::map<job_key, home_job>;
 
-// Of a task away from the rack of its data, at most.
+// The largest factor by which a task takes longer away from the rack of its
+// data.
 constexpr double kOffRackSlowdown = 3;
-// How many times as long a task may take on that upstream as near its data.
-double RackSlowdown(const upstream_info& where, const home_task& task);
+// The factor by which the task may take longer on `upstream` than on the rack
+// of its data.
+double RackSlowdown(const upstream_info& upstream, const home_task& task);
 
-// Core-seconds, by the caller's guess.
+// The core-seconds that the task needs by the caller's estimate.
 double CoreSeconds(const task_demand& demand);
 
 }  // namespace jasminedyke
--- a/src/runs/job_order.cc
+++ b/src/runs/job_order.cc
@@ -4,14 +4,14 @@
 
 namespace jasminedyke {
 
-job_rank RankJob(const scheduling_criteria& outlook, time_point now) {
+job_rank RankJob(const scheduling_criteria& criteria, time_point now) {
   job_rank rank;
-  rank.work_left = outlook.work_left;
-  rank.priority = outlook.priority;
-  time_point ends = now + outlook.longest_task;
-  if (ends > std::min(outlook.limit, outlook.useful_until))
-    rank.lateness = job_lateness::kLost;
-  else if (ends > outlook.objective)
+  rank.remaining_work = criteria.remaining_work;
+  rank.priority = criteria.priority;
+  time_point expected_end = now + criteria.longest_task;
+  if (expected_end > std::min(criteria.limit, criteria.useful_until))
+    rank.lateness = job_lateness::kTooLate;
+  else if (expected_end > criteria.objective)
     rank.lateness = job_lateness::kLate;
   return rank;
 }
--- a/src/runs/job_order.h
+++ b/src/runs/job_order.h
@@ -1,4 +1,4 @@
-// In which order waiting jobs get room.
+// The order in which waiting jobs are placed on upstreams.
 
 #ifndef SRC_RUNS_JOB_ORDER_H_
 #define SRC_RUNS_JOB_ORDER_H_
@@ -9,41 +9,41 @@
 
 namespace jasminedyke {
 
-// What the order looks at.
+// The properties of a job that determine its rank.
 struct scheduling_criteria {
   time_point objective;
-  // An answer after that is of no use any more.
+  // An answer after this time is of no use to the caller.
   time_point useful_until;
-  // The caller leaves.
+  // The caller stops waiting at this time.
   time_point limit;
-  // The longest of the tasks that are not done yet.
+  // The expected run time of the longest task that is not done yet.
   duration longest_task = duration::zero();
-  // Core-seconds of all tasks that are not done yet.
-  double work_left = 0;
-  // Of the queue, as its operators set it; 0 goes first.
+  // The core-seconds of all tasks that are not done yet.
+  double remaining_work = 0;
+  // The priority that operators gave the job's queue; 0 goes first.
   int priority = 0;
 };
 
 enum class job_lateness {
-  kOnTime,  // can still meet its objective
-  kLate,    // can only be answered late
-  kLost,    // would end when its answer is of no use any more
+  kOnTime,   // can still meet its objective
+  kLate,     // can only be answered after its objective
+  kTooLate,  // would end after `useful_until` or `limit`
 };
 
 struct job_rank {
   job_lateness lateness = job_lateness::kOnTime;
   int priority = 0;
-  double work_left = 0;
+  double remaining_work = 0;
 
   auto operator<=>(const job_rank&) const = default;
 };
 
-// Jobs that can still meet their objective go first, then those of the queue
-// that its operators put first, then those with the least work left. With the
-// work before the priority, urgent jobs of eight short tasks stood behind ever
-// new jobs of two tasks: at 105 % load 0.55 of them were in time, and 0.85 in
-// this order (tests/run_load).
-job_rank RankJob(const scheduling_criteria& outlook, time_point now);
+// Ranks jobs by lateness, then by the priority of their queue, then by the
+// least remaining work. Comparing work before priority starves urgent jobs of
+// eight short tasks behind a stream of new jobs of two tasks: at 105 % load,
+// 0.55 of them met their objective, compared with 0.85 in this order
+// (tests/run_load).
+job_rank RankJob(const scheduling_criteria& criteria, time_point now);
 
 }  // namespace jasminedyke
 
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -7,42 +7,48 @@
 
 namespace {
 
-// A link that broke may be opened again by a living owner, which then sends
-// its jobs again. A caller whose instance died comes back after a second or
-// more, through another instance; by then its runs must be gone.
-constexpr duration kOrphanTime = std::chrono::milliseconds(350);
-// A predecessor ends as soon as it hears of its successor; its leases last a
-// second more on a clock that is 2 % slow.
-constexpr duration kUnconfirmedTime = std::chrono::milliseconds(1500);
+// How long the jobs of an owner are kept after its link broke. A living owner
+// reconnects within this time and sends its jobs again. If the owner died, its
+// caller comes back through another instance after a second or more; by then
+// the runs must have been stopped.
+constexpr duration kOrphanGracePeriod = std::chrono::milliseconds(350);
+// How long a new home waits if its list of upstreams is not confirmed. A
+// predecessor ends as soon as it hears of its successor; its leases last for
+// another second on a clock that is 2 % slow.
+constexpr duration kUnconfirmedWait = std::chrono::milliseconds(1500);
 constexpr duration kSweepInterval = std::chrono::milliseconds(50);
-// Of the objective, counted from the job's arrival.
-constexpr int kUsefulLateness = 3;
-// Of this instance's link, the share that specifications in starts may take.
-// Jobs bring each specification in once, holds need as many bytes again, and
-// bursts must pass within the little time that callers of short tasks can lose.
-// Below that a start by the owner costs a message more and connections of its
-// own.
-constexpr double kMostSpecShare = 0.2;
-constexpr double kFewSpecShare = 0.1;
-
-// Orders of one task that upstreams refuse as malformed.
-constexpr int kMostRejections = 2;
+// An answer is useful until this multiple of the job's objective, counted from
+// its arrival.
+constexpr int kUsefulObjectiveFactor = 3;
+// The share of this instance's link that specifications in starts may take
+// before owners send the starts themselves. Each specification also comes in
+// once with its job, holds need as many bytes again, and bursts must pass in
+// the little time that callers of short tasks can lose. Below this share the
+// home sends the starts, as a start by the owner costs one more message and
+// separate connections.
+constexpr double kMaxSpecShare = 0.2;
+// The share below which the home sends the starts again.
+constexpr double kResumeSpecShare = 0.1;
+
+// A job is returned to its owner once upstreams have refused one of its tasks
+// as malformed this many times.
+constexpr int kMaxRejections = 2;
 
 }  // namespace
 
 run_home::run_home(scheduler& clock,
                    upstream_port& port,
                    const home_group& group,
-                   const settings& own,
+                   const settings& options,
                    send_report send,
                    fenced_handler on_fenced)
     : clock_(clock),
       port_(port),
       group_(group),
-      settings_(own),
+      settings_(options),
       on_fenced_(std::move(on_fenced)),
-      gate_(own.drain_grace_period),
-      placer_(clock, upstreams_, own.placement),
+      gate_(options.drain_grace_period),
+      placer_(clock, upstreams_, options.placement),
       reports_(clock, jobs_, std::move(send)),
       claims_(clock, upstreams_),
       run_times_(upstreams_),
@@ -59,12 +65,12 @@
   if (serving_)
     return;
   serving_ = true;
-  begun_ = clock_.now();
+  begun_at_ = clock_.now();
   claims_.Begin();
   room_ = home_room();
-  confirmed_ = false;
-  knew_upstreams_ = !registry_.empty();
-  gate_.Restart();
+  upstreams_confirmed_ = false;
+  began_with_upstreams_ = !registry_.empty();
+  gate_.EndGracePeriod();
   SetUpstreams(registry_, false);
   Sweep();
 }
@@ -74,11 +80,11 @@
   upstreams_.Clear();
   jobs_.clear();
   claims_.Clear();
-  orphaned_at_.clear();
+  orphaned_until_.clear();
   sweep_timer_.Stop();
   dispatch_timer_.Stop();
   reports_.Stop();
-  dispatch_due_ = false;
+  dispatch_scheduled_ = false;
 }
 
 void run_home::SetUpstreams(const upstream_registry& upstreams,
@@ -87,9 +93,10 @@
   upstreams_.speeds().Keep(upstreams);
   if (!serving_)
     return;
-  // Registrations that lapsed during an outage are missing at first; only who
-  // knew them before can tell.
-  confirmed_ = confirmed_ || (confirmed && knew_upstreams_);
+  // After an outage the store's list lacks the registrations that lapsed
+  // meanwhile. Only a home that knew the upstreams before can rely on its list.
+  upstreams_confirmed_ =
+      upstreams_confirmed_ || (confirmed && began_with_upstreams_);
   for (const auto& [id, info] : upstreams) {
     if (info.draining)
       crashes_.OnExplained({id, info.birth}, clock_.now());
@@ -101,7 +108,7 @@
         clock_, port_, info, token_, settings_.upstreams, answer_times_,
         *this));
   }
-  TellCrashes();
+  PublishCrashNews();
   ScheduleDispatch();
 }
 
@@ -121,8 +128,8 @@
       !is_new &&
       (job.owner != from || job.request.submission != request.submission);
   if (other_submission && !job.cancelled) {
-    // The caller lost its first connection and came back elsewhere. Its runs
-    // go on for the new owner.
+    // The caller lost its first connection and came back through another
+    // instance or connection. The job's runs continue for the new owner.
     Refuse(job, run_refusal::kSuperseded, duration::zero());
   }
   job.key = request.job;
@@ -132,12 +139,13 @@
   job.request.tasks.clear();
   job.owner_gone = false;
   job.objective = clock_.now() + request.to_objective;
-  // Both desks count an answer that comes within three times its objective.
+  // Both kinds of job desk count answers that arrive within three times their
+  // objective.
   job.useful_until = job.objective + (request.age + request.to_objective) *
-                                         (kUsefulLateness - 1);
+                                         (kUsefulObjectiveFactor - 1);
   job.limit = clock_.now() + request.to_limit;
   AddTasks(job, request);
-  DropIfOver(request.job);
+  EraseIfFinished(request.job);
   ScheduleDispatch();
 }
 
@@ -151,13 +159,13 @@
       task.queued_at = clock_.now();
     if (auto end = claims_.TakeEarlyEnd(name)) {
       if (*end == run_end::kDone && demand.maybe_started) {
-        job.ran = true;
+        job.may_have_run = true;
         OnTaskDone(job, task);
         continue;
       }
     }
-    bool waits =
-        task.phase == task_phase::kQueued || task.phase == task_phase::kUnclear;
+    bool waits = task.phase == task_phase::kQueued ||
+                 task.phase == task_phase::kMaybeStarted;
     if (auto found_run = waits ? claims_.Claim(name) : std::nullopt) {
       MarkAdopted(job, task, found_run->upstream);
       task.stopping = found_run->stopping;
@@ -168,18 +176,18 @@
       }
       continue;
     }
-    // The owner will hear of it with the others.
+    // The end will be reported to the owner along with others.
     if (job.IsUnreported(task))
       continue;
     if (task.phase == task_phase::kDone) {
-      // Only a job that came again after its end: it runs anew.
+      // Only a job that was sent again after its end gets here: it runs again.
       task.phase = task_phase::kQueued;
       task.rejections = 0;
     }
     if (task.phase == task_phase::kQueued && demand.maybe_started) {
-      job.ran = true;
+      job.may_have_run = true;
       if (!AllSettled())
-        task.phase = task_phase::kUnclear;
+        task.phase = task_phase::kMaybeStarted;
     }
   }
 }
@@ -192,7 +200,7 @@
   task.ordered_at = clock_.now();
   task.first_ordered_at = task.ordered_at;
   task.adopted = true;
-  job.ran = true;
+  job.may_have_run = true;
 }
 
 void run_home::OnCancel(const instance_id& from, const run_cancel& cancel) {
@@ -200,12 +208,12 @@
   if (found == jobs_.end())
     return;
   home_job& job = found->second;
-  // A newer submission of the same key is not meant.
+  // The cancellation does not apply to a newer submission of the same key.
   if (job.owner != from || job.request.submission != cancel.submission)
     return;
   reports_.LogLate(job);
   CancelJob(job);
-  DropIfOver(cancel.job);
+  EraseIfFinished(cancel.job);
 }
 
 void run_home::CancelJob(home_job& job) {
@@ -223,7 +231,7 @@
   }
 }
 
-void run_home::DropIfOver(const job_key& key) {
+void run_home::EraseIfFinished(const job_key& key) {
   auto found = jobs_.find(key);
   if (found == jobs_.end())
     return;
@@ -236,11 +244,11 @@
 
 void run_home::OnPeerDown(const instance_id& peer) {
   if (serving_)
-    orphaned_at_.try_emplace(peer, clock_.now() + kOrphanTime);
+    orphaned_until_.try_emplace(peer, clock_.now() + kOrphanGracePeriod);
 }
 
 void run_home::OnPeerUp(const instance_id& peer) {
-  orphaned_at_.erase(peer);
+  orphaned_until_.erase(peer);
 }
 
 home_task* run_home::FindTask(const task_name& task, home_job** job) {
@@ -269,10 +277,10 @@
   if (ordered_here && run.value() < task->last_run)
     return;
   task->last_run = std::max(task->last_run, run.value());
-  job->ran = true;
+  job->may_have_run = true;
   task->answers_lost = session.UnansweredSince(task->ordered_at);
   if (ordered_here)
-    NoteEnd(*job, *task, how);
+    RecordRunEnd(*job, *task, how);
   if (how != run_end::kDone && !task->stopping) {
     LogEvent(log_level::kInfo, "run_ended",
              {{"job", name.job.str()},
@@ -297,10 +305,10 @@
       ++metrics_.lapsed;
     Requeue(*job, *task);
   }
-  DropIfOver(name.job);
+  EraseIfFinished(name.job);
 }
 
-void run_home::NoteEnd(home_job& job, const home_task& task, run_end how) {
+void run_home::RecordRunEnd(home_job& job, const home_task& task, run_end how) {
   time_point now = clock_.now();
   if (how == run_end::kFailed)
     upstreams_.Standing(task.upstream).OnFailed(now, job.key);
@@ -349,11 +357,11 @@
             {"begun", std::ranges::count(loss.runs, true, &lost_run::begun)},
             {"crashed", loss.crashed ? 1 : 0},
             {"draining", session.info().draining ? 1 : 0}});
-  // It had said that it would go.
+  // An upstream that announced its departure is not suspected of a crash.
   if (session.info().draining)
     return;
   crashes_.OnUpstreamLost(clock_.now(), loss, upstreams_.sessions().size());
-  TellCrashes();
+  PublishCrashNews();
 }
 
 void run_home::OnFoundAgain(upstream_session& session,
@@ -365,7 +373,7 @@
             {"crashed", crashed ? 1 : 0}});
   if (!crashed)
     crashes_.OnExplained(loss.upstream, clock_.now());
-  TellCrashes();
+  PublishCrashNews();
   ScheduleDispatch();
 }
 
@@ -373,23 +381,24 @@
   upstreams_.ForgetStanding(session.info().id);
 }
 
-void run_home::TellCrashes() {
+void run_home::PublishCrashNews() {
   crash_news news = crashes_.TakeNews();
-  if (!news.empty() && tell_crashes_)
-    tell_crashes_(news);
+  if (!news.empty() && publish_crash_news_)
+    publish_crash_news_(news);
 }
 
 void run_home::AddCrashNews(const crash_news& news) {
   crashes_.Take(news, clock_.now());
 }
 
-// A further start of the task might take down a further upstream.
+// Returns the job to its owner, as another start of the task might crash
+// another upstream.
 void run_home::GiveUp(home_job& job, const home_task& task) {
   ++metrics_.given_up;
   task_name name{job.key, 0, task.demand.position};
   reports_.LogHeld(name, crashes_.LossesOf(name));
-  HandBack(job, run_refusal::kUpstreamsLost,
-           crashes_.HeldFor(name, clock_.now()));
+  ReturnToOwner(job, run_refusal::kUpstreamsLost,
+                crashes_.HeldFor(name, clock_.now()));
 }
 
 void run_home::OnNotStarted(upstream_session& session,
@@ -417,7 +426,7 @@
     task->avoided_upstream = session.info().id;
   }
   Requeue(*job, *task);
-  DropIfOver(name.job);
+  EraseIfFinished(name.job);
 }
 
 void run_home::OnFound(upstream_session& session,
@@ -425,7 +434,7 @@
                        run_number run) {
   home_job* job = nullptr;
   home_task* task = FindTask(name, &job);
-  bool waits = task && (task->phase == task_phase::kUnclear ||
+  bool waits = task && (task->phase == task_phase::kMaybeStarted ||
                         task->phase == task_phase::kQueued);
   if (waits && !job->cancelled) {
     MarkAdopted(*job, *task, session.info().id);
@@ -438,7 +447,7 @@
 }
 
 void run_home::OnRoom(upstream_session&) {
-  QueueUnclear();
+  QueueMaybeStarted();
   ScheduleDispatch();
 }
 
@@ -448,48 +457,50 @@
   on_fenced_();
 }
 
-// A home that has just begun may not know all upstreams: without a list from
-// the store it waits until leases given by its predecessor have run out.
+// A home that has just begun may not know all upstreams. Without a confirmed
+// list it waits until the leases of its predecessor have expired.
 bool run_home::AllSettled() const {
-  bool all_known = confirmed_ || clock_.now() - begun_ >= kUnconfirmedTime;
+  bool all_known =
+      upstreams_confirmed_ || clock_.now() - begun_at_ >= kUnconfirmedWait;
   return all_known && upstreams_.AllSettled();
 }
 
-void run_home::QueueUnclear() {
+void run_home::QueueMaybeStarted() {
   if (!AllSettled())
     return;
   for (auto& [key, job] : jobs_) {
     for (auto& [position, task] : job.tasks) {
-      if (task.phase != task_phase::kUnclear)
+      if (task.phase != task_phase::kMaybeStarted)
         continue;
       task.phase = task_phase::kQueued;
       if (crashes_.OnSuspectVanished({key, 0, position}, clock_.now()))
-        TellCrashes();
+        PublishCrashNews();
     }
   }
 }
 
-// From a timer, so that one answer's many events lead to one pass.
+// Dispatches from a timer, so that the many events of one answer lead to a
+// single pass.
 void run_home::ScheduleDispatch() {
-  if (dispatch_due_ || !serving_)
+  if (dispatch_scheduled_ || !serving_)
     return;
-  dispatch_due_ = true;
+  dispatch_scheduled_ = true;
   dispatch_timer_.StartAfter(duration::zero(), [this] {
-    dispatch_due_ = false;
+    dispatch_scheduled_ = false;
     Dispatch();
   });
 }
 
 void run_home::Dispatch() {
-  std::vector<waiting_job> in_order = WaitingInOrder();
+  std::vector<waiting_job> in_order = RankWaitingJobs();
   if (!in_order.empty())
     placer_.Refresh();
   for (const waiting_job& waiting : in_order) {
     home_job& job = *waiting.job;
-    start_permit permit = gate_.Permit(!job.HasNotStarted(), clock_.now());
-    if (permit == start_permit::kHandBack)
-      HandBack(job, run_refusal::kDrained, kLeastRetryAfter);
-    if (permit != start_permit::kStart || !CanStart(job))
+    start_decision decision = gate_.Decide(!job.HasNotStarted(), clock_.now());
+    if (decision == start_decision::kReturnToOwner)
+      ReturnToOwner(job, run_refusal::kDrained, kLeastRetryAfter);
+    if (decision != start_decision::kStart || !CanSendStarts(job))
       continue;
     if (const home_task* held = HeldTask(job)) {
       GiveUp(job, *held);
@@ -497,44 +508,45 @@
     }
     if (job.request.may_pass && job.HasNotStarted() &&
         !placer_.HasPlacesFor(job))
-      PassOn(job);
-    else if (job.IsRejected(kMostRejections) ||
-             (!PlaceTasks(job) && job.IsRejected(1)))
-      HandBack(job, run_refusal::kNotAccepted, kLeastRetryAfter);
+      PassToOtherGroup(job);
+    else if (job.HasRejectedTask(kMaxRejections) ||
+             (!PlaceTasks(job) && job.HasRejectedTask(1)))
+      ReturnToOwner(job, run_refusal::kNotAccepted, kLeastRetryAfter);
   }
-  DropCancelled();
+  EraseFinishedCancelled();
 }
 
-// Failure domains are uneven at any moment, more so when one has lost
-// upstreams: what waits in one could start at once in another.
-void run_home::PassOn(home_job& job) {
+// Refuses the job so that its owner sends it to another group. The load of
+// failure domains differs, especially when one has lost upstreams, so a job
+// that waits in one domain could start at once in another.
+void run_home::PassToOtherGroup(home_job& job) {
   reports_.SendRefusal(job, run_refusal::kBusy, duration::zero());
   CancelJob(job);
 }
 
-// Its owner sends it elsewhere, or answers at once if parts of it have run
-// here.
-void run_home::HandBack(home_job& job,
-                        run_refusal reason,
-                        duration retry_after) {
+// Refuses the job. Its owner sends it to another home, or answers at once if
+// parts of it have run here.
+void run_home::ReturnToOwner(home_job& job,
+                             run_refusal reason,
+                             duration retry_after) {
   Refuse(job, reason, std::max(retry_after, kLeastRetryAfter));
   CancelJob(job);
 }
 
-std::vector<waiting_job> run_home::WaitingInOrder() {
+std::vector<waiting_job> run_home::RankWaitingJobs() {
   std::vector<waiting_job> waiting;
   for (auto& [key, job] : jobs_) {
-    double work = job.cancelled ? 0 : job.WaitingWork();
+    double work = job.cancelled ? 0 : job.QueuedWork();
     if (work <= 0)
       continue;
-    scheduling_criteria outlook = job.Outlook();
-    waiting.push_back({RankJob(outlook, clock_.now()), outlook, work, &job});
+    scheduling_criteria criteria = job.SchedulingCriteria();
+    waiting.push_back({RankJob(criteria, clock_.now()), criteria, work, &job});
   }
   std::ranges::sort(waiting, {}, &waiting_job::rank);
   return waiting;
 }
 
-// True if all waiting tasks found room.
+// Returns true if all waiting tasks were placed.
 bool run_home::PlaceTasks(home_job& job) {
   for (auto& [position, task] : job.tasks) {
     bool waits = task.phase == task_phase::kQueued &&
@@ -558,7 +570,8 @@
     standing.OnTrial(clock_.now());
     ++metrics_.trials;
   }
-  // It needs less, and keeps the rest from others.
+  // A task that is suspected of crashing upstreams runs alone, so it reserves
+  // the whole capacity.
   StartOn(*session, job, task,
           alone ? session->info().capacity : task.demand.need);
   return true;
@@ -593,7 +606,7 @@
   return crashes_.Of({job.key, 0, task.demand.position}, clock_.now());
 }
 
-// Null if none is held.
+// Returns the first queued task that is held, or null.
 const home_task* run_home::HeldTask(const home_job& job) const {
   auto held = std::ranges::find_if(job.tasks, [&](const auto& entry) {
     return entry.second.phase == task_phase::kQueued &&
@@ -602,34 +615,34 @@
   return held == job.tasks.end() ? nullptr : &held->second;
 }
 
-// A job whose owner has to send the starts waits while there is no link to it;
-// the owner sends the job again when there is one. Trying nevertheless would
-// fail at once and be tried again in each turn of the loop.
-bool run_home::CanStart(const home_job& job) const {
+// Returns false if the owner has to send the starts and there is no link to it.
+// The owner sends the job again once it is connected. Starts sent before that
+// would fail at once and be retried in each turn of the event loop.
+bool run_home::CanSendStarts(const home_job& job) const {
   return !job.request.kept_spec_bytes ||
-         (!job.owner_gone && !orphaned_at_.contains(job.owner));
+         (!job.owner_gone && !orphaned_until_.contains(job.owner));
 }
 
-void run_home::WatchSpecTraffic() {
+void run_home::UpdateOwnersStart() {
   if (settings_.link_bytes_per_second <= 0)
     return;
   double share =
       spec_rate_.PerSecond(clock_.now()) / settings_.link_bytes_per_second;
-  bool was = owners_start_;
-  owners_start_ = share > (was ? kFewSpecShare : kMostSpecShare);
-  if (owners_start_ != was)
+  bool did_start = owners_start_;
+  owners_start_ = share > (did_start ? kResumeSpecShare : kMaxSpecShare);
+  if (owners_start_ != did_start)
     LogEvent(log_level::kInfo, "owners_start",
              {{"group", group_.ToString()},
               {"on", owners_start_ ? 1 : 0},
               {"share_of_link", share}});
 }
 
-// Ends claims and grace times that ran out, removes upstreams that are gone,
-// and refuses jobs that can't be answered in time any more.
+// Ends expired claims and grace periods, removes upstreams that are gone, and
+// refuses jobs that can't be answered in useful time any more.
 void run_home::Sweep() {
   time_point now = clock_.now();
   claims_.Sweep();
-  for (auto& [peer, until] : orphaned_at_) {
+  for (auto& [peer, until] : orphaned_until_) {
     if (now < until)
       continue;
     for (auto& [key, job] : jobs_) {
@@ -637,32 +650,32 @@
         CancelJob(job);
     }
   }
-  std::erase_if(orphaned_at_,
+  std::erase_if(orphaned_until_,
                 [&](const auto& entry) { return now >= entry.second; });
   upstreams_.Forget(registry_);
   crashes_.Forget(now);
-  RefuseHopeless();
-  stuck_runs_.Check(jobs_, [this] { return WaitForRoom(); });
-  WatchSpecTraffic();
-  QueueUnclear();
+  RefuseLateJobs();
+  stuck_runs_.Check(jobs_, [this] { return EstimateRoomWait(); });
+  UpdateOwnersStart();
+  QueueMaybeStarted();
   ScheduleDispatch();
   sweep_timer_.StartAfter(kSweepInterval, [this] { Sweep(); });
 }
 
-// Jobs of which nothing has run are refused as soon as it shows that they can't
-// be answered in useful time: the caller can turn elsewhere at once.
-void run_home::RefuseHopeless() {
+// Refuses jobs that have not started as soon as the estimate shows that they
+// can't be answered in useful time, so that their callers can go elsewhere.
+void run_home::RefuseLateJobs() {
   home_load load;
   load.cores = upstreams_.UsableCores();
   duration delay = answer_times_.Delay();
-  std::vector<waiting_job> waiting = WaitingInOrder();
+  std::vector<waiting_job> waiting = RankWaitingJobs();
   room_.Look(clock_.now(), {waiting, run_times_.done(), load.cores});
   for (waiting_job& each : waiting) {
     home_job& job = *each.job;
-    bool hopeless =
+    bool too_late =
         job.HasNotStarted() &&
-        IsHopeless(each.outlook, EstimateWait(load) + delay, clock_.now());
-    if (!hopeless) {
+        IsHopeless(each.criteria, EstimateWait(load) + delay, clock_.now());
+    if (!too_late) {
       load.work_ahead += each.work;
       continue;
     }
@@ -672,25 +685,25 @@
       Refuse(job, run_refusal::kNoUpstream, kLeastRetryAfter);
     CancelJob(job);
   }
-  DropCancelled();
+  EraseFinishedCancelled();
 }
 
-void run_home::DropCancelled() {
-  std::vector<job_key> over;
+void run_home::EraseFinishedCancelled() {
+  std::vector<job_key> cancelled;
   for (const auto& [key, job] : jobs_) {
     if (job.cancelled)
-      over.push_back(key);
+      cancelled.push_back(key);
   }
-  for (const job_key& key : over)
-    DropIfOver(key);
+  for (const job_key& key : cancelled)
+    EraseIfFinished(key);
 }
 
-// What a job that comes last would wait.
-duration run_home::WaitForRoom() const {
+// Estimates how long a job behind all waiting jobs would wait.
+duration run_home::EstimateRoomWait() const {
   home_load load;
   load.cores = upstreams_.UsableCores();
   for (const auto& [key, job] : jobs_)
-    load.work_ahead += job.cancelled ? 0 : job.WaitingWork();
+    load.work_ahead += job.cancelled ? 0 : job.QueuedWork();
   return EstimateWait(load);
 }
 
@@ -707,7 +720,7 @@
     status.free_cpu_millis += session->room().cpu_millis;
     status.total_cpu_millis += session->info().capacity.cpu_millis;
   }
-  status.wait = WaitForRoom();
+  status.wait = EstimateRoomWait();
   return status;
 }
 
--- a/src/runs/run_home.h
+++ b/src/runs/run_home.h
@@ -1,5 +1,5 @@
-// The home of a group of upstreams: it alone starts, stops, holds and
-// acknowledges there, for the jobs of all entry instances.
+// The home of a group of upstreams: the only instance that starts, stops, holds
+// and acknowledges runs there, on behalf of all entry instances.
 
 #ifndef SRC_RUNS_RUN_HOME_H_
 #define SRC_RUNS_RUN_HOME_H_
@@ -41,20 +41,24 @@
   uint64_t adopted = 0;
   stuck_runs::counts stuck;
   uint64_t trials = 0;
-  // Upstreams lost with runs on them; jobs given up as several were lost under
-  // one of their tasks.
+  // Upstreams that were lost with runs on them.
   uint64_t upstreams_lost = 0;
+  // Jobs given up because several upstreams were lost while they ran the same
+  // task.
   uint64_t given_up = 0;
   std::map<start_result, uint64_t> refused_starts;
-  // From a task's arrival until it is ordered, and from then until it is done.
+  // The time from a task's arrival until it is ordered.
   latency_by_queue room_wait;
+  // The time from a task's order until it is done.
   latency_by_queue run_time;
 };
 
-// Why one home: an upstream keeps one list of ends that anybody's
-// acknowledgement cuts, and one lease that anybody's hold prolongs. Two
-// instances that both hold it lose each other's ends and keep each other's
-// orphans alive.
+// Schedules the jobs of all entry instances on the upstreams of one group.
+//
+// A group has a single home because an upstream keeps one list of ends, which
+// any acknowledgement truncates, and one lease, which any hold prolongs. Two
+// instances holding the same upstream would lose each other's ends and keep
+// each other's orphaned runs alive.
 class run_home : public upstream_session::owner {
  public:
   using send_report = home_reports::send_report;
@@ -63,9 +67,11 @@
 
   struct settings {
     upstream_session::limits upstreams;
-    // What this instance's network link carries each way; 0 if not known.
+    // The bandwidth of this instance's network link in each direction; 0 if not
+    // known.
     double link_bytes_per_second = 0;
-    // Of jobs that have begun when operators drain the failure domain.
+    // How long jobs that have begun may start further tasks after operators
+    // have drained the failure domain.
     duration drain_grace_period = duration::zero();
     placement_rule placement = placement_rule::kLeastSlack;
   };
@@ -73,33 +79,37 @@
   run_home(scheduler& clock,
            upstream_port& port,
            const home_group& group,
-           const settings& own,
+           const settings& options,
            send_report send,
            fenced_handler on_fenced);
   ~run_home() override;
 
-  // Begins to be home, or goes on under a newer token.
+  // Begins to serve as home, or continues under a newer token.
   void Begin(fencing_token token);
-  // Leaves the upstreams to a successor. What runs goes on there.
+  // Leaves the upstreams to a successor. Runs are not stopped.
   void End();
   bool serving() const { return serving_; }
 
-  // The group's upstreams. `confirmed` if the list comes from the store and not
-  // from an earlier home.
+  // Sets the group's upstreams. `confirmed` is true if the list comes from the
+  // store and not from an earlier home.
   void SetUpstreams(const upstream_registry& upstreams, bool confirmed);
 
-  // What operators want of this failure domain.
+  // Sets the state that operators have requested for the failure domain.
   void SetDomainState(domain_state state);
 
-  // `tell` has what other instances should know of tasks that crash upstreams.
-  void SetCrashHandler(crash_handler tell) { tell_crashes_ = std::move(tell); }
+  // `handler` gets news about tasks that crash upstreams, to be sent to the
+  // other instances.
+  void SetCrashHandler(crash_handler handler) {
+    publish_crash_news_ = std::move(handler);
+  }
   void AddCrashNews(const crash_news& news);
   crash_news CrashSuspects() const { return crashes_.All(clock_.now()); }
 
   void OnRequest(const instance_id& from, const run_request& request);
   void OnCancel(const instance_id& from, const run_cancel& cancel);
-  // The link to an entry instance broke, or it has a new incarnation.
+  // The link to an entry instance broke, or the instance has a new incarnation.
   void OnPeerDown(const instance_id& peer);
+  // There is a link to the entry instance again.
   void OnPeerUp(const instance_id& peer);
 
   home_status Status() const;
@@ -133,24 +143,24 @@
 
   home_task* FindTask(const task_name& task, home_job** job);
   void AddTasks(home_job& job, const run_request& request);
-  // The task runs on `upstream` since before this home began.
+  // Marks the task as running on `upstream` since before this home began.
   void MarkAdopted(home_job& job, home_task& task, const upstream_id& upstream);
   void CancelJob(home_job& job);
-  void DropIfOver(const job_key& key);
+  void EraseIfFinished(const job_key& key);
   void OnTaskDone(home_job& job, home_task& task);
   void OnTaskFailed(home_job& job, home_task& task);
-  void TellCrashes();
+  void PublishCrashNews();
   void Requeue(home_job& job, home_task& task);
   void GiveUp(home_job& job, const home_task& task);
   void Refuse(home_job& job, run_refusal reason, duration retry_after);
-  // All that an earlier home may have started is known or over.
+  // True if every run that an earlier home may have started is known or over.
   bool AllSettled() const;
-  void QueueUnclear();
+  void QueueMaybeStarted();
   void ScheduleDispatch();
   void Dispatch();
-  std::vector<waiting_job> WaitingInOrder();
-  void PassOn(home_job& job);
-  void HandBack(home_job& job, run_refusal reason, duration retry_after);
+  std::vector<waiting_job> RankWaitingJobs();
+  void PassToOtherGroup(home_job& job);
+  void ReturnToOwner(home_job& job, run_refusal reason, duration retry_after);
   bool PlaceTasks(home_job& job);
   bool PlaceTask(home_job& job, home_task& task);
   void StartOn(upstream_session& session,
@@ -160,13 +170,13 @@
   crash_suspicion SuspicionOf(const home_job& job, const home_task& task) const;
   const home_task* HeldTask(const home_job& job) const;
   void Sweep();
-  void RefuseHopeless();
-  void DropCancelled();
-  void NoteEnd(home_job& job, const home_task& task, run_end how);
-  // Decides whether owners are to send the starts.
-  void WatchSpecTraffic();
-  bool CanStart(const home_job& job) const;
-  duration WaitForRoom() const;
+  void RefuseLateJobs();
+  void EraseFinishedCancelled();
+  void RecordRunEnd(home_job& job, const home_task& task, run_end how);
+  // Decides whether owners send the starts of their jobs themselves.
+  void UpdateOwnersStart();
+  bool CanSendStarts(const home_job& job) const;
+  duration EstimateRoomWait() const;
 
   scheduler& clock_;
   upstream_port& port_;
@@ -182,18 +192,20 @@
   home_job_map jobs_;
   home_reports reports_;
   run_claims claims_;
-  // Entry instances whose link broke, until when their jobs are kept.
-  std::map<instance_id, time_point> orphaned_at_;
+  // For entry instances whose link broke, the time until which their jobs are
+  // kept.
+  std::map<instance_id, time_point> orphaned_until_;
   run_home_metrics metrics_;
-  time_point begun_;
-  // The list of upstreams is what was known before this home began, and what
-  // the store has had since.
-  bool confirmed_ = false;
-  bool knew_upstreams_ = false;
-  bool dispatch_due_ = false;
+  time_point begun_at_;
+  // The list of upstreams includes those known before this home began and those
+  // that the store has listed since.
+  bool upstreams_confirmed_ = false;
+  bool began_with_upstreams_ = false;
+  bool dispatch_scheduled_ = false;
   crash_record crashes_;
-  crash_handler tell_crashes_;
-  // Of the specifications of all starts, whoever sends them.
+  crash_handler publish_crash_news_;
+  // The rate of specification bytes in all starts, including those that owners
+  // send.
   byte_rate spec_rate_;
   answer_times answer_times_;
   run_times run_times_;
--- a/src/runs/start_gate.cc
+++ b/src/runs/start_gate.cc
@@ -3,24 +3,24 @@
 namespace jasminedyke {
 
 void start_gate::Set(domain_state state, time_point now) {
-  bool drain_begins =
+  bool drain_starts =
       state_ == domain_state::kServing && state == domain_state::kDrained;
-  if (drain_begins)
-    finish_by_ = now + finish_time_;
+  if (drain_starts)
+    grace_ends_at_ = now + drain_grace_period_;
   state_ = state;
 }
 
-start_permit start_gate::Permit(bool begun, time_point now) const {
+start_decision start_gate::Decide(bool begun, time_point now) const {
   switch (state_) {
     case domain_state::kServing:
-      return start_permit::kStart;
+      return start_decision::kStart;
     case domain_state::kUnknown:
-      return start_permit::kWait;
+      return start_decision::kWait;
     case domain_state::kDrained:
       break;
   }
-  return begun && now < finish_by_ ? start_permit::kStart
-                                   : start_permit::kHandBack;
+  return begun && now < grace_ends_at_ ? start_decision::kStart
+                                       : start_decision::kReturnToOwner;
 }
 
 }  // namespace jasminedyke
--- a/src/runs/start_gate.h
+++ b/src/runs/start_gate.h
@@ -1,5 +1,5 @@
-// Whether a home may start tasks at all, by what operators want of its failure
-// domain.
+// Decides whether a home may start tasks, depending on whether operators have
+// drained its failure domain.
 
 #ifndef SRC_RUNS_START_GATE_H_
 #define SRC_RUNS_START_GATE_H_
@@ -9,34 +9,36 @@
 
 namespace jasminedyke {
 
-enum class start_permit {
+enum class start_decision {
   kStart,
-  kWait,      // not known yet whether the domain is drained
-  kHandBack,  // nothing more of the job starts here
+  kWait,           // not known yet whether the domain is drained
+  kReturnToOwner,  // no further task of the job may start here
 };
 
-// A job that has begun when a drain comes may finish: its other tasks start
-// within `drain_grace_period`, else its work would be thrown away and its
-// caller get no answer. Jobs that have not begun go elsewhere at once.
+// Jobs that have begun when a drain is ordered may finish: their remaining
+// tasks start within `drain_grace_period`. Otherwise their work would be lost
+// and their callers would get no answer. Jobs that have not begun are returned
+// to their owners at once.
 //
-// A home that did not serve when it learnt of the drain finishes nothing: it
-// can't tell how long ago the drain was ordered.
+// A home that was not serving when it learnt of the drain grants no grace
+// period, as it can't tell how long ago the drain was ordered.
 class start_gate {
  public:
   explicit start_gate(duration drain_grace_period)
-      : finish_time_(drain_grace_period) {}
+      : drain_grace_period_(drain_grace_period) {}
 
   void Set(domain_state state, time_point now);
-  // Another process may have served the domain in between.
-  void Restart() { finish_by_ = time_point::min(); }
+  // Ends the grace period when the home begins to serve again: another process
+  // may have served the domain in the meantime.
+  void EndGracePeriod() { grace_ends_at_ = time_point::min(); }
 
-  // `begun`: a task of the job has started or may have.
-  start_permit Permit(bool begun, time_point now) const;
+  // `begun` is true if a task of the job has started or may have started.
+  start_decision Decide(bool begun, time_point now) const;
 
  private:
-  duration finish_time_;
+  duration drain_grace_period_;
   domain_state state_ = domain_state::kServing;
-  time_point finish_by_ = time_point::min();
+  time_point grace_ends_at_ = time_point::min();
 };
 
 }  // namespace jasminedyke
