--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -129,7 +129,7 @@
       (job.owner != from || job.request.submission != request.submission);
   if (other_submission && !job.cancelled) {
     // The caller lost its first connection and came back through another
-    // instance or connection. The job's runs continue for the new owner.
+    // one. The job's runs continue for the new owner.
     Refuse(job, run_refusal::kSuperseded, duration::zero());
   }
   job.key = request.job;
@@ -139,8 +139,7 @@
   job.request.tasks.clear();
   job.owner_gone = false;
   job.objective = clock_.now() + request.to_objective;
-  // Both kinds of job desk count answers that arrive within three times their
-  // objective.
+  // Callers accept an answer that arrives within three times its objective.
   job.useful_until = job.objective + (request.age + request.to_objective) *
                                          (kUsefulObjectiveFactor - 1);
   job.limit = clock_.now() + request.to_limit;
@@ -570,8 +569,8 @@
     standing.OnTrial(clock_.now());
     ++metrics_.trials;
   }
-  // A task that is suspected of crashing upstreams runs alone, so it reserves
-  // the whole capacity.
+  // A suspect task that is placed alone reserves the whole capacity, so that no
+  // other task is placed beside it.
   StartOn(*session, job, task,
           alone ? session->info().capacity : task.demand.need);
   return true;
@@ -628,9 +627,9 @@
     return;
   double share =
       spec_rate_.PerSecond(clock_.now()) / settings_.link_bytes_per_second;
-  bool did_start = owners_start_;
-  owners_start_ = share > (did_start ? kResumeSpecShare : kMaxSpecShare);
-  if (owners_start_ != did_start)
+  bool was_on = owners_start_;
+  owners_start_ = share > (was_on ? kResumeSpecShare : kMaxSpecShare);
+  if (owners_start_ != was_on)
     LogEvent(log_level::kInfo, "owners_start",
              {{"group", group_.ToString()},
               {"on", owners_start_ ? 1 : 0},
--- a/tests/run_home/delegated_start_test.cc
+++ b/tests/run_home/delegated_start_test.cc
@@ -1,4 +1,4 @@
-// What a home does when a job's owner does not send a start.
+// Tests starts that the owner of a job sends on behalf of its home.
 
 #include <vector>
 
@@ -21,9 +21,9 @@
 }  // namespace
 
 TEST_CASE("start_delegator: a result for an earlier process of the instance") {
-  // The home is killed while an owner sends a start for it, and begins again.
-  // The owner's result reaches the new process. Taken for that of its own first
-  // start, the run would be looked for, not be found and begin once more.
+  // Guards against taking an owner's result for an earlier process of the home
+  // as the result of the new process's first start. The home would look for
+  // that run, not find it and start the task a second time.
   manual_scheduler clock;
   fake_fleet fleet{clock};
   fleet.Add("u1", "north");
@@ -52,9 +52,10 @@
   }
 }
 
-TEST_CASE("run_home: a job whose owner has it no more is given up") {
-  // The caller came again through the same owner, whose new submission went to
-  // another home. Nobody tells this home; it must not keep the job for good.
+TEST_CASE("run_home: a job that its owner no longer has is dropped") {
+  // Guards against keeping a job forever. The caller submitted the job again
+  // through the same owner, which sent the new submission to another home
+  // without telling this one.
   manual_scheduler clock;
   fake_fleet fleet{clock};
   fleet.Add("u1", "north");
--- a/tests/run_home/failed_verdict_test.cc
+++ b/tests/run_home/failed_verdict_test.cc
@@ -1,4 +1,4 @@
-// What shows a job as failed: only ends of its runs.
+// Tests that a job is reported as failed only because of ends of its runs.
 
 #include <string>
 
@@ -41,16 +41,17 @@
     home.SetUpstreams(fleet.registry, true);
   }
 
-  // That runs the task, and the other one.
+  // The upstream that runs the task.
   fake_upstream& Busy() { return At(StartsOn("u1") > 0 ? "u1" : "u2"); }
+  // The upstream that doesn't.
   fake_upstream& Idle() { return At(StartsOn("u1") > 0 ? "u2" : "u1"); }
 };
 
 }  // namespace
 
 TEST_CASE("failed verdict: an upstream crashed before it began the task") {
-  // Guards against orders that were never carried out being held against their
-  // task as crashes.
+  // Guards against counting a crash against a task whose order the upstream had
+  // not carried out.
   verdict_fixture f;
   fake_upstream& busy = f.Busy();
   fake_upstream& idle = f.Idle();
@@ -67,8 +68,8 @@
 }
 
 TEST_CASE("failed verdict: two upstreams crashed under the task") {
-  // Guards against crashes, which the task need not have caused, being told as
-  // its failure.
+  // Guards against reporting crashes as a failure of the task, which need not
+  // have caused them.
   verdict_fixture f;
   fake_upstream& other = f.Idle();
   f.Busy().Crash();
@@ -85,8 +86,8 @@
 }
 
 TEST_CASE("failed verdict: an upstream left as it had announced") {
-  // Guards against upstreams whose notice is read only after they were out of
-  // reach counting as lost under their tasks.
+  // Guards against counting an upstream as lost under its tasks if the notice
+  // of its departure is read only after it became unreachable.
   verdict_fixture f;
   crash_news told;
   f.home.SetCrashHandler([&told](const crash_news& news) { told = news; });
@@ -107,19 +108,19 @@
 }
 
 TEST_CASE("failed verdict: upstreams do not accept the order") {
-  // Guards against a refusal, by which nothing ran, counting as failed runs.
+  // Guards against counting refused orders as failed runs: nothing ran.
   home_fixture f;
   f.fleet.Add("u1", "north").rejects = true;
   f.fleet.Add("u2", "north");
   f.Begin();
-  SUBCASE("one of them: another one runs the task") {
+  SUBCASE("one upstream refuses: another one runs the task") {
     f.home.OnRequest(kOwner, f.Request(1, Demand()));
     f.clock.Advance(milliseconds(200));
     REQUIRE(f.reports.size() == 1);
     REQUIRE(f.reports[0].tasks.size() == 1);
     CHECK(f.reports[0].tasks[0].verdict == task_verdict::kDone);
   }
-  SUBCASE("none of them: the job has not run") {
+  SUBCASE("all upstreams refuse: the job has not run") {
     f.At("u2").rejects = true;
     f.home.OnRequest(kOwner, f.Request(1, Demand()));
     f.clock.Advance(milliseconds(200));
@@ -128,7 +129,7 @@
     CHECK(f.reports[0].not_run);
     CHECK(f.reports[0].retry_after >= seconds(1));
   }
-  SUBCASE("and there is no other: the job does not wait for one") {
+  SUBCASE("the only reachable upstream refuses: the job does not wait") {
     f.At("u2").down = true;
     f.clock.Advance(seconds(5));
     f.home.OnRequest(kOwner, f.Request(1, Demand()));
@@ -137,7 +138,7 @@
     CHECK(f.reports[0].refusal == run_refusal::kNotAccepted);
     CHECK(f.reports[0].not_run);
   }
-  SUBCASE("none of them, after another task has run: it is not known") {
+  SUBCASE("all upstreams refuse after a task has run: the job may have run") {
     f.At("u2").rejects = true;
     run_request request = f.Request(2, Demand());
     request.tasks[1].need.cpu_millis = 1'000'000;
--- a/tests/run_home/run_home_test.cc
+++ b/tests/run_home/run_home_test.cc
@@ -1,4 +1,4 @@
-// Where a home starts tasks.
+// Tests on which upstreams a home starts tasks, and when it refuses jobs.
 
 #include <algorithm>
 #include <set>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("run_home: at most so many tasks of a step on one upstream") {
+TEST_CASE("run_home: limits the tasks of a step on one upstream") {
   home_fixture f;
   f.fleet.Add("u1", "north");
   f.fleet.Add("u2", "north");
@@ -32,7 +32,7 @@
   CHECK(f.StartsOn("u1") + f.StartsOn("u2") == 3);
 }
 
-TEST_CASE("run_home: only upstreams with the label") {
+TEST_CASE("run_home: uses only upstreams with the required label") {
   home_fixture f;
   f.fleet.Add("u1", "north");
   f.fleet.Add("u2", "north");
@@ -46,9 +46,10 @@
   CHECK(f.StartsOn("u2") == 2);
 }
 
-TEST_CASE("run_home: near the data, or away if that ends in time") {
-  // Three tasks fill the upstream on the data's rack. The fourth takes three
-  // times as long elsewhere.
+TEST_CASE(
+    "run_home: leaves the data's rack only if the task still ends in time") {
+  // Three tasks fill the upstream on the data's rack. The fourth task takes
+  // three times as long on the other upstream.
   home_fixture f;
   f.fleet.Add("u1", "north");
   f.fleet.Add("u2", "north");
@@ -58,12 +59,12 @@
   task_demand demand = Demand();
   demand.rack = rack_id("r1-2");
   run_request request = f.Request(4, demand);
-  SUBCASE("which it does") {
+  SUBCASE("it would end in time elsewhere") {
     f.home.OnRequest(kOwner, request);
     f.clock.Advance(milliseconds(30));
     CHECK(f.StartsOn("u1") == 1);
   }
-  SUBCASE("which it does not: it waits") {
+  SUBCASE("it would end late elsewhere, so it waits") {
     request.to_objective = milliseconds(140);
     f.home.OnRequest(kOwner, request);
     f.clock.Advance(milliseconds(120));
@@ -72,7 +73,7 @@
   }
 }
 
-TEST_CASE("run_home: a draining upstream gets nothing") {
+TEST_CASE("run_home: starts no tasks on a draining upstream") {
   home_fixture f;
   f.fleet.Add("u1", "north");
   f.fleet.Add("u2", "north");
@@ -86,7 +87,7 @@
 }
 
 TEST_CASE(
-    "run_home: never beyond capacity, also of upstreams without a guard") {
+    "run_home: never exceeds the capacity of an upstream without a guard") {
   home_fixture f;
   fake_upstream& upstream = f.fleet.Add("u1", "north");
   upstream.guarded = false;
@@ -99,9 +100,9 @@
   CHECK(f.StartsOn("u1") == 8);
 }
 
-TEST_CASE("run_home: jobs that can't end in useful time are refused at once") {
-  // A queue of 1.5 s of work stands before a job that has 0.47 s. Its caller is
-  // told so within one look, and that nothing of it ran.
+TEST_CASE("run_home: refuses jobs at once that can't end in useful time") {
+  // The queue holds 1.5 s of work, and the late job has 0.47 s left. Its owner
+  // must learn within one sweep that the job is refused and nothing of it ran.
   home_fixture f;
   f.fleet.Add("u1", "north");
   f.Begin();
@@ -111,7 +112,7 @@
   first.to_limit = std::chrono::seconds(60);
   f.home.OnRequest(kOwner, first);
   f.clock.Advance(milliseconds(10));
-  // Larger than what is left of the first, so it would come after it.
+  // More work than is left of the first job, so this one ranks behind it.
   run_request late = f.Request(95, Demand());
   f.home.OnRequest(kOwner, late);
   f.clock.Advance(milliseconds(60));
@@ -128,9 +129,9 @@
 }
 
 TEST_CASE("run_home: a job that may go elsewhere does not wait for places") {
-  // Another group seems to have places. Two of the job's four tasks would find
-  // one here; none of them starts, and the job's owner hears at once that
-  // nothing ran. A job that may not go elsewhere starts what it can.
+  // Only two of the job's four tasks would find a place here. If another group
+  // seems to have places, none of them starts, and the owner hears at once that
+  // nothing ran. Otherwise the job starts the tasks that find a place.
   home_fixture f;
   f.fleet.Add("u1", "north");
   f.Begin();
@@ -168,51 +169,52 @@
 }
 
 TEST_CASE("run_home: an upstream's capacity shrinks and grows while it runs") {
-  // Three tasks run when the upstream says that it has room for one only. It
-  // does not guard itself, so a further start would bring it over. The others
-  // wait, are not refused as fitting nowhere, and start at once when it grows.
+  // The capacity drops while three tasks run. The upstream has no guard, so
+  // another start would exceed its capacity. The other tasks must wait, must
+  // not be refused because no upstream is large enough, and must start as soon
+  // as the capacity grows again.
   home_fixture f;
   f.fleet.Add("u1", "north").guarded = false;
   f.Begin();
-  auto resize = [&](int64_t cpu_millis) {
+  auto set_capacity = [&](int64_t cpu_millis) {
     f.InfoOf("u1").capacity.cpu_millis = cpu_millis;
     f.home.SetUpstreams(f.fleet.registry, true);
   };
-  auto most_running = [&] {
+  auto running_tasks = [&] {
     return f.fleet.upstreams.at(upstream_id("u1"))->running.size();
   };
   run_request request = f.Request(8, Demand());
   request.to_objective = milliseconds(1000);
   f.home.OnRequest(kOwner, request);
   f.clock.Advance(milliseconds(10));
-  REQUIRE(most_running() == 3);
-  SUBCASE("to room for one") {
-    resize(12'000);
+  REQUIRE(running_tasks() == 3);
+  SUBCASE("shrinks to room for one task") {
+    set_capacity(12'000);
     f.clock.Advance(milliseconds(60));
     for (int i = 0; i < 40; ++i) {
       f.clock.Advance(milliseconds(2));
-      CHECK(most_running() <= 1);
+      CHECK(running_tasks() <= 1);
     }
   }
-  SUBCASE("to room for none") {
-    resize(5'000);
+  SUBCASE("shrinks to room for no task") {
+    set_capacity(5'000);
     f.clock.Advance(milliseconds(100));
-    CHECK(most_running() == 0);
+    CHECK(running_tasks() == 0);
     CHECK(std::ranges::none_of(f.reports, [](const run_report& report) {
       return report.refusal != run_refusal::kNone;
     }));
   }
-  size_t before = f.StartsOn("u1");
-  resize(32'000);
+  size_t starts_before = f.StartsOn("u1");
+  set_capacity(32'000);
   f.clock.Advance(milliseconds(5));
-  CHECK(f.StartsOn("u1") >= before + 2);
+  CHECK(f.StartsOn("u1") >= starts_before + 2);
   f.clock.Advance(milliseconds(300));
   CHECK(f.StartsOn("u1") == 8);
 }
 
-TEST_CASE("run_home: what an incarnation did is not held against the next") {
-  // It failed all that it started. After a crash and return under its id it is
-  // given work like any other.
+TEST_CASE("run_home: forgets an upstream's failures when it is reborn") {
+  // An upstream fails everything that it starts. After it has crashed and
+  // returned under the same id, it must get work like any other.
   home_fixture f;
   fake_upstream& upstream = f.fleet.Add("u1", "north");
   upstream.birth = upstream_birth(1'700'000'000'000);
@@ -240,9 +242,9 @@
   CHECK(f.StartsOn("u1") == 3);
 }
 
-TEST_CASE("run_home: what is being stopped still takes room") {
-  // The caller leaves amid three runs; the upstream has the room only when each
-  // run's end is listed, 20 ms later.
+TEST_CASE("run_home: runs that are being stopped still take room") {
+  // The caller leaves while three tasks run. The upstream has room again only
+  // once the end of each run is listed, 20 ms later.
   home_fixture f;
   f.fleet.Add("u1", "north").guarded = false;
   f.Begin();
@@ -259,9 +261,9 @@
   CHECK(f.StartsOn("u1") == 6);
 }
 
-TEST_CASE("run_home: no job is refused as fitting nowhere for a shrink") {
-  // It can't be in time any more when the upstream has shrunk: it is refused
-  // for load, so its caller comes back.
+TEST_CASE("run_home: a smaller capacity does not make a job too large to run") {
+  // The job can't end in time on the shrunken upstream. It must be refused for
+  // load, and not for size, so that its caller comes back.
   home_fixture f;
   f.fleet.Add("u1", "north");
   f.Begin();
