--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -100,7 +100,7 @@
           [this](fencing_token token) { OnHomeBegins(token); },
           [this] { OnHomeEnds(); }});
   members_ = std::make_unique<member_registry>(clock, store, self);
-  home_->OnCrashNews([this](const crash_news& news) { SendToAll(news); });
+  home_->SetCrashHandler([this](const crash_news& news) { SendToAll(news); });
   home_->SetDomainState(drains_.StateOf(self_.domain));
   peers_.SetListener(this);
   members_->Register();
@@ -415,7 +415,7 @@
           [&](const home_status& m) { TakeHomeStatus(from, m); },
           [&](const upstream_news& m) { TakeUpstreamNews(from, m); },
           [&](const drained_domains& m) { TakeDrainedDomains(from, m); },
-          [&](const crash_news& m) { home_->TakeCrashNews(m); },
+          [&](const crash_news& m) { home_->AddCrashNews(m); },
           [&](const speed_news& m) { TakeSpeedNews(from, m); },
           [&](const peer_status& m) { TakeStatus(from, m); },
           [&](const document_request& m) { TakeRequest(from, m); },
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -125,8 +125,8 @@
     return;
   run_judgement judgement = JudgeRun(Look(job, task, *session));
   if (judgement.ask) {
-    if (task.asked_at < task.ordered_at)
-      task.asked_at = clock_.now();
+    if (task.progress_asked_at < task.ordered_at)
+      task.progress_asked_at = clock_.now();
     session->Look();
   }
   switch (judgement.state) {
@@ -151,11 +151,12 @@
   sight.expected = times_.ExpectThere(job, task);
   sight.expected.longest = Times(
       sight.expected.longest,
-      std::pow(kAllowedAgain, std::min(task.stopped_as_long, kMostAllowances)));
-  sight.pace_known = job.PaceWithout(task.upstream) > 0;
+      std::pow(kAllowedAgain, std::min(task.overlong_stops, kMostAllowances)));
+  sight.pace_known = job.MedianPaceExcluding(task.upstream) > 0;
   sight.adopted = task.adopted;
-  sight.asked = task.asked_at > task.ordered_at &&
-                clock_.now() - task.asked_at >= answers_.Patience(kAnswerTime);
+  sight.asked =
+      task.progress_asked_at > task.ordered_at &&
+      clock_.now() - task.progress_asked_at >= answers_.Patience(kAnswerTime);
   auto progress = session.Progress({job.key, 0, task.demand.position});
   // An adopted run may have been listed before it was claimed.
   if (progress && progress->listed > task.ordered_at) {
@@ -197,7 +198,7 @@
   if (ends_anew >= std::min(job.useful_until, job.limit))
     return;
   if (evidence != stuck_evidence::kProgress)
-    ++task.stopped_as_long;
+    ++task.overlong_stops;
   Stop(job, task, session, evidence);
 }
 
@@ -207,7 +208,7 @@
                       stuck_evidence evidence) {
   ++stopped_[evidence];
   task.stopping = true;
-  task.avoid = task.upstream;
+  task.avoided_upstream = task.upstream;
   LogEvent(log_level::kInfo, "run_stuck",
            {{"job", job.key.str()},
             {"task", task.demand.position.index},
--- a/src/runs/task_placer.cc
+++ b/src/runs/task_placer.cc
@@ -26,7 +26,7 @@
       !info.labels.contains(task.demand.required_label))
     return false;
   return task.demand.max_per_upstream == 0 ||
-         job.TasksOn(info.id, task.demand.position.step) <
+         job.OrderedTasksOn(info.id, task.demand.position.step) <
              task.demand.max_per_upstream;
 }
 
@@ -95,7 +95,7 @@
 
 bool task_placer::MayRunOffRack(const home_job& job,
                                 const home_task& task) const {
-  duration near_data = job.Expected(task);
+  duration near_data = job.ExpectedDuration(task);
   duration off_rack = Times(near_data, kOffRackSlowdown);
   time_point now = clock_.now();
   return now + off_rack <= job.objective || now + near_data > job.objective;
@@ -118,7 +118,7 @@
     if (session)
       end = std::max(end,
                      other.ordered_at +
-                         FromSeconds(ToSeconds(job.Expected(other)) /
+                         FromSeconds(ToSeconds(job.ExpectedDuration(other)) /
                                      upstreams_.speeds().Of(session->info())));
   }
   return end;
@@ -132,7 +132,7 @@
   if (left <= duration::zero() || classes_.empty())
     return kUnattainable;
   double least =
-      ToSeconds(job.Expected(task)) * kRunTimeMargin / ToSeconds(left);
+      ToSeconds(job.ExpectedDuration(task)) * kRunTimeMargin / ToSeconds(left);
   return least > SpeedOfClass(classes_.rbegin()->first) ? kUnattainable : least;
 }
 
@@ -163,7 +163,7 @@
   for (available_upstream& open : available_) {
     const upstream_session& session = *open.session;
     if (!task.demand.need.Fits(open.room) || !MayRun(session, job, task) ||
-        session.info().id == task.avoid)
+        session.info().id == task.avoided_upstream)
       continue;
     double slowness = RackSlowdown(session.info(), task);
     // A task waits for room near its data unless it ends in time elsewhere too,
