--- a/src/runs/admission_estimate.cc
+++ b/src/runs/admission_estimate.cc
@@ -13,8 +13,8 @@
 }
 
 bool IsHopeless(const job_outlook& outlook, duration wait, time_point now) {
-  time_point ends = now + wait + outlook.longest_task;
-  return ends > std::min(outlook.useful_until, outlook.limit);
+  time_point end = now + wait + outlook.longest_task;
+  return end > std::min(outlook.useful_until, outlook.limit);
 }
 
 }  // namespace jasminedyke
--- a/src/runs/admission_estimate.h
+++ b/src/runs/admission_estimate.h
@@ -1,4 +1,4 @@
-// Whether a job that waits can still be of use to its caller.
+// Estimates whether a waiting job can still finish in time for its caller.
 
 #ifndef SRC_RUNS_ADMISSION_ESTIMATE_H_
 #define SRC_RUNS_ADMISSION_ESTIMATE_H_
@@ -8,25 +8,27 @@
 
 namespace jasminedyke {
 
-// Callers come back no sooner than that; Retry-After counts whole seconds.
+// Shortest delay after which a refused caller is asked to retry. The
+// Retry-After header has a resolution of whole seconds.
 constexpr duration kLeastRetryAfter = std::chrono::seconds(1);
-// Without any upstream that takes work, one may come back within about this.
+// Wait that is assumed while no upstream takes work: about how long it may take
+// until one is back.
 constexpr duration kWaitWithoutCores = std::chrono::seconds(1);
 
-// What a home has to do and to do it with.
+// The queued work and the capacity of a home.
 struct home_load {
-  // Core-seconds of waiting tasks that go before the job.
+  // Core-seconds of waiting tasks that are served before the job.
   double work_ahead = 0;
-  // Cores of upstreams that take work.
+  // Cores of the upstreams that take work.
   double cores = 0;
 };
 
-// When the job's last task would begin.
+// Returns the expected time until the job's last task begins.
 duration EstimateWait(const home_load& load);
 
-// True if the job should be refused now: by the estimate it would end so late
-// that it is likelier to run out of time than to be answered, and its caller
-// gains more by coming back than by waiting.
+// Returns true if the job should be refused now: it is expected to end so late
+// that it is likelier to time out than to be answered, so its caller gains more
+// by retrying than by waiting.
 bool IsHopeless(const job_outlook& outlook, duration wait, time_point now);
 
 }  // namespace jasminedyke
--- a/src/runs/byte_rate.h
+++ b/src/runs/byte_rate.h
@@ -1,4 +1,4 @@
-// Bytes a second, lately.
+// An exponentially decaying average of a byte rate.
 
 #ifndef SRC_RUNS_BYTE_RATE_H_
 #define SRC_RUNS_BYTE_RATE_H_
@@ -9,7 +9,7 @@
 
 namespace jasminedyke {
 
-// What was noted counts less by half each `kHalfLife`.
+// Bytes per second. The weight of recorded bytes halves every `kHalfLife`.
 class byte_rate {
  public:
   static constexpr duration kHalfLife = std::chrono::milliseconds(500);
@@ -18,8 +18,9 @@
   double PerSecond(time_point now) const;
 
  private:
+  // The decayed number of bytes as of `updated_`.
   double sum_ = 0;
-  time_point since_;
+  time_point updated_;
 };
 
 }  // namespace jasminedyke
--- a/src/runs/home_reports.cc
+++ b/src/runs/home_reports.cc
@@ -7,10 +7,12 @@
 
 namespace {
 
-// What a home that dies may not have told; the tasks would run once more.
-constexpr duration kReportPause = std::chrono::milliseconds(20);
+// Delay for batching reports. Ends not yet reported are lost if the home
+// crashes, and their tasks run again, so it must be short.
+constexpr duration kReportDelay = std::chrono::milliseconds(20);
 
-// Where the time of one task went, until its end or until now.
+// How one task spent its time, until its end or until now: waiting for free
+// capacity, in runs that were lost, and in its last run.
 struct task_times {
   time_point end;
   duration room_wait = duration::zero();
@@ -18,11 +20,11 @@
   duration run = duration::zero();
 };
 
-task_times TimesOf(const home_task& task, time_point now) {
+task_times SplitTaskTime(const home_task& task, time_point now) {
   task_times times;
   times.end = task.phase == task_phase::kDone ? task.ended_at : now;
-  bool waits = task.phase == task_phase::kQueued;
-  time_point ordered = waits ? times.end : task.ordered_at;
+  bool queued = task.phase == task_phase::kQueued;
+  time_point ordered = queued ? times.end : task.ordered_at;
   bool ever_ordered = task.first_ordered_at != time_point();
   time_point first = ever_ordered ? task.first_ordered_at : ordered;
   times.room_wait = first - task.queued_at;
@@ -50,42 +52,42 @@
   if (all_done || verdict == task_verdict::kFailed)
     Send(job);
   else if (!timer_.active())
-    timer_.StartAfter(kReportPause, [this] { SendAll(); });
+    timer_.StartAfter(kReportDelay, [this] { SendAll(); });
 }
 
-// Steps of a job follow each other, so that the time of each is that of its
-// last task.
+// The steps of a job run one after the other, and each takes as long as the
+// task that ends last in it. The sums therefore count one task per step.
 void home_reports::LogLate(const home_job& job) const {
   time_point now = clock_.now();
   if (now <= job.objective || job.tasks.empty())
     return;
-  std::map<uint32_t, const home_task*> last_of_step;
-  time_point came = now;
+  std::map<uint32_t, const home_task*> last_task_of_step;
+  time_point first_queued = now;
   for (const auto& [position, task] : job.tasks) {
-    came = std::min(came, task.queued_at);
-    const home_task*& last = last_of_step[position.step];
-    if (!last || TimesOf(task, now).end >= TimesOf(*last, now).end)
+    first_queued = std::min(first_queued, task.queued_at);
+    const home_task*& last = last_task_of_step[position.step];
+    if (!last || SplitTaskTime(task, now).end >= SplitTaskTime(*last, now).end)
       last = &task;
   }
-  task_times sum;
+  task_times total;
   duration expected = duration::zero();
-  for (const auto& [step, task] : last_of_step) {
-    task_times times = TimesOf(*task, now);
-    sum.room_wait += times.room_wait;
-    sum.lost += times.lost;
-    sum.run += times.run;
+  for (const auto& [step, task] : last_task_of_step) {
+    task_times times = SplitTaskTime(*task, now);
+    total.room_wait += times.room_wait;
+    total.lost += times.lost;
+    total.run += times.run;
     expected += task->demand.estimate;
   }
-  const home_task& last = *last_of_step.rbegin()->second;
+  const home_task& last = *last_task_of_step.rbegin()->second;
   duration age =
       job.request.age + job.request.to_objective + (now - job.objective);
   LogEvent(log_level::kInfo, "job_late",
            {{"job", job.key.str()},
             {"age_ms", ToMilliseconds(age)},
-            {"came_ms", ToMilliseconds(age - (now - came))},
-            {"room_wait_ms", ToMilliseconds(sum.room_wait)},
-            {"lost_ms", ToMilliseconds(sum.lost)},
-            {"run_ms", ToMilliseconds(sum.run)},
+            {"came_ms", ToMilliseconds(age - (now - first_queued))},
+            {"room_wait_ms", ToMilliseconds(total.room_wait)},
+            {"lost_ms", ToMilliseconds(total.lost)},
+            {"run_ms", ToMilliseconds(total.run)},
             {"expected_ms", ToMilliseconds(expected)},
             {"upstream", last.upstream.str()},
             {"runs", last.last_run},
@@ -94,9 +96,9 @@
 
 void home_reports::LogFailed(const home_job& job, const home_task& task) const {
   std::string runs;
-  for (const failed_run& each : task.failures)
-    runs += (runs.empty() ? "" : ",") + each.upstream.str() + "/" +
-            std::to_string(each.run);
+  for (const failed_run& failure : task.failures)
+    runs += (runs.empty() ? "" : ",") + failure.upstream.str() + "/" +
+            std::to_string(failure.run);
   LogEvent(log_level::kInfo, "task_failed",
            {{"job", job.key.str()},
             {"task", task.demand.position.index},
@@ -108,9 +110,9 @@
 void home_reports::LogHeld(const task_name& task,
                            const std::vector<task_loss>& losses) const {
   std::string upstreams;
-  for (const task_loss& each : losses)
-    upstreams += (upstreams.empty() ? "" : ",") + each.upstream.id.str() +
-                 (each.begun ? "/begun" : "/ordered");
+  for (const task_loss& loss : losses)
+    upstreams += (upstreams.empty() ? "" : ",") + loss.upstream.id.str() +
+                 (loss.begun ? "/begun" : "/ordered");
   LogEvent(log_level::kWarning, "task_held",
            {{"job", task.job.str()},
             {"task", task.position.index},
@@ -163,7 +165,8 @@
   run_report report{request.job, request.submission, {}};
   report.refusal = run_refusal::kNotHome;
   report.sending = request.sending;
-  // It may have been home when the job was sent first.
+  // Tasks may have been started here if this instance was home when the job was
+  // first sent.
   report.not_run = std::ranges::none_of(
       request.tasks, [](const task_demand& t) { return t.maybe_started; });
   send_(to, report);
--- a/src/runs/home_reports.h
+++ b/src/runs/home_reports.h
@@ -1,4 +1,4 @@
-// What a home tells the owners of its jobs: ends of tasks, and refusals.
+// Reports from a home to the owners of its jobs: finished tasks and refusals.
 
 #ifndef SRC_RUNS_HOME_REPORTS_H_
 #define SRC_RUNS_HOME_REPORTS_H_
@@ -15,6 +15,7 @@
 
 namespace jasminedyke {
 
+// Sends the reports of one home and logs late, failed, held and refused work.
 class home_reports {
  public:
   using send_report =
@@ -22,30 +23,31 @@
 
   home_reports(scheduler& clock, home_job_map& jobs, send_report send);
 
-  // Owners can do something with an end only when it is the job's last one
-  // here, or a failure. The others wait a moment for it: one message for a job
-  // of four tasks instead of four.
+  // Reports the end of a task to the job's owner. Owners act only on a failure
+  // or on the last end of a job at this home, so other ends are delayed briefly
+  // and batched: a job of four tasks usually needs one message instead of four.
   void Report(home_job& job, const home_task& task, task_verdict verdict);
-  // Says where the time went of a job that is late, once its last task has
-  // ended or nobody waits for it any more.
+  // If the job has missed its objective, logs how its time was spent. Called
+  // once its last task has ended or no caller waits for it any more.
   void LogLate(const home_job& job) const;
-  // The ends that show the job as failed.
+  // Logs the failed runs because of which the job fails.
   void LogFailed(const home_job& job, const home_task& task) const;
-  // The losses for which the task is not started.
+  // Logs the lost upstreams because of which the task is not started again.
   void LogHeld(const task_name& task,
                const std::vector<task_loss>& losses) const;
-  // The job is not served here; `token` is the home's, for the log.
+  // Tells the owner that this home does not serve the job, and logs it with
+  // the home's fencing token.
   void Refuse(const home_job& job,
               run_refusal reason,
               duration retry_after,
               fencing_token token);
-  // The same without a log line of its own.
+  // Like `Refuse`, but writes no log line.
   void SendRefusal(const home_job& job,
                    run_refusal reason,
                    duration retry_after);
-  // To one that takes this instance for a home.
+  // Refuses a request whose sender wrongly assumes that this instance is home.
   void SendNotHome(const instance_id& to, const run_request& request);
-  // What waits is not sent any more.
+  // Cancels the pending batch of reports.
   void Stop() { timer_.Stop(); }
 
   const std::map<run_refusal, uint64_t>& refused() const { return refused_; }
--- a/src/runs/queue_latency.cc
+++ b/src/runs/queue_latency.cc
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr size_t kMaxQueues = 40;
-// As often as metrics are usually fetched, four times over.
-constexpr duration kWindow = std::chrono::seconds(60);
+constexpr size_t kMaxSeparateQueues = 40;
+// Four times the usual scrape interval of metrics.
+constexpr duration kQuantileWindow = std::chrono::seconds(60);
 
 }  // namespace
 
@@ -16,10 +16,10 @@
                  time_point now) {
   auto found = latencies.find(queue);
   if (found == latencies.end()) {
-    bool full = latencies.size() >= kMaxQueues;
+    bool full = latencies.size() >= kMaxSeparateQueues;
     found = latencies
                 .try_emplace(full ? queue_id("other") : queue,
-                             windowed_quantiles(kWindow))
+                             windowed_quantiles(kQuantileWindow))
                 .first;
   }
   found->second.Add(ToSeconds(latency), now);
--- a/src/runs/queue_latency.h
+++ b/src/runs/queue_latency.h
@@ -1,4 +1,4 @@
-// Latencies by queue, with a bound on how many queues are kept apart.
+// Latency quantiles by queue, for a bounded number of queues.
 
 #ifndef SRC_RUNS_QUEUE_LATENCY_H_
 #define SRC_RUNS_QUEUE_LATENCY_H_
@@ -12,8 +12,9 @@
 
 using latency_by_queue = std::map<queue_id, windowed_quantiles>;
 
-// Queues beyond the first few dozen go under "other", so that operators who
-// configure thousands don't fill the memory or the metrics page.
+// Records a latency of the queue. Queues beyond the first few dozen share the
+// entry "other", which bounds memory and the size of the metrics page when
+// thousands of queues are configured.
 void NoteLatency(latency_by_queue& latencies,
                  const queue_id& queue,
                  duration latency,
