--- a/src/runs/home_room.cc
+++ b/src/runs/home_room.cc
@@ -8,48 +8,51 @@
 
 namespace {
 
-// Load changes within seconds: nothing is known of later times.
-constexpr duration kMostRetryAfter = std::chrono::seconds(10);
+// Horizon of the estimates: load changes within seconds, so that later times
+// can't be predicted.
+constexpr duration kMaxRetryAfter = std::chrono::seconds(10);
 
 }  // namespace
 
-void home_room::Look(time_point now, const room_sight& sight) {
-  rate_.Look(now, sight.done, sight.cores, !sight.waiting.empty());
+void home_room::Look(time_point now, const capacity_snapshot& snapshot) {
+  rate_.Update(now, snapshot.done, snapshot.cores, !snapshot.waiting.empty());
   ahead_ = {};
-  for (const waiting_job& each : sight.waiting) {
-    if (each.rank.chance == job_chance::kInTime)
-      ahead_.Add(each.rank.priority, each.work);
+  for (const waiting_job& job : snapshot.waiting) {
+    if (job.rank.chance == job_chance::kInTime)
+      ahead_.Add(job.rank.priority, job.work);
   }
-  cores_ = sight.cores;
-  std::erase_if(promised_, [&](const auto& each) { return each.second < now; });
+  cores_ = snapshot.cores;
+  std::erase_if(reserved_until_,
+                [&](const auto& entry) { return entry.second < now; });
 }
 
 duration home_room::WaitOf(int priority) const {
   if (cores_ <= 0)
     return kWaitWithoutCores;
-  return std::min(kMostRetryAfter,
-                  FromSeconds(ahead_.UpTo(priority) / rate_.LeftTo(priority)));
+  return std::min(kMaxRetryAfter, FromSeconds(ahead_.UpTo(priority) /
+                                              rate_.RateAvailableTo(priority)));
 }
 
-duration home_room::RetryAfter(time_point now, const waiting_job& sent_away) {
-  int priority = sent_away.rank.priority;
-  time_point room = now + WaitOf(priority);
-  for (const auto& [each, until] : promised_)
-    room = each <= priority ? std::max(room, until) : room;
-  room = std::min(room, now + kMostRetryAfter);
-  if (cores_ > 0 && !sent_away.job->request.has_place)
-    KeepPlace(priority, room, sent_away.work);
-  for (auto& [each, until] : promised_)
-    until = std::min(until, now + kMostRetryAfter);
-  return std::max(kLeastRetryAfter, room - now);
+duration home_room::RetryAfter(time_point now, const waiting_job& refused) {
+  int priority = refused.rank.priority;
+  time_point start = now + WaitOf(priority);
+  for (const auto& [other, until] : reserved_until_)
+    start = other <= priority ? std::max(start, until) : start;
+  start = std::min(start, now + kMaxRetryAfter);
+  if (cores_ > 0 && !refused.job->request.has_place)
+    Reserve(priority, start, refused.work);
+  for (auto& [other, until] : reserved_until_)
+    until = std::min(until, now + kMaxRetryAfter);
+  return std::max(kLeastRetryAfter, start - now);
 }
 
-// Those that are less urgent come after it.
-void home_room::KeepPlace(int priority, time_point room, double work) {
-  promised_[priority] = room + FromSeconds(work / rate_.SpareFor(priority));
-  for (auto& [each, until] : promised_)
-    until += each > priority ? FromSeconds(work / rate_.SpareFor(each))
-                             : duration::zero();
+// Less urgent work that was refused is served later by as much.
+void home_room::Reserve(int priority, time_point start, double work) {
+  reserved_until_[priority] =
+      start + FromSeconds(work / rate_.SpareRateFor(priority));
+  for (auto& [other, until] : reserved_until_)
+    until += other > priority ? FromSeconds(work / rate_.SpareRateFor(other))
+                              : duration::zero();
 }
 
 }  // namespace jasminedyke
--- a/src/runs/home_room.h
+++ b/src/runs/home_room.h
@@ -1,5 +1,5 @@
-// When a home has room for jobs of each priority, and when those that it sends
-// away may come back.
+// Estimates when a home has capacity for jobs of each priority, and when jobs
+// that it refuses should be retried.
 
 #ifndef SRC_RUNS_HOME_ROOM_H_
 #define SRC_RUNS_HOME_ROOM_H_
@@ -14,39 +14,44 @@
 
 namespace jasminedyke {
 
-// What a home has, at one look.
-struct room_sight {
+// The queue and the capacity of a home at one point in time.
+struct capacity_snapshot {
   const std::vector<waiting_job>& waiting;
-  // Of all tasks that have ended.
+  // Work of all tasks that have ended.
   const priority_work& done;
-  // Of upstreams that take work.
+  // Cores of the upstreams that take work.
   double cores = 0;
 };
 
-// Jobs that are sent away together come back one after the other, as their work
-// finds room (virtual finishing times, as in weighted fair queueing, of the
-// work that was sent away).
+// Jobs that are refused at the same time are told to retry one after the other,
+// as capacity becomes free for their work. For this, virtual finishing times of
+// the refused work are kept, as in weighted fair queueing.
 class home_room {
  public:
-  void Look(time_point now, const room_sight& sight);
+  void Look(time_point now, const capacity_snapshot& snapshot);
 
-  // Of a job that comes now, until the work that goes before it has begun.
+  // Returns how long a job that arrives now waits until the work that is served
+  // before it has begun.
   duration WaitOf(int priority) const;
-  // For a job that is sent away now: no earlier than room is expected for it,
-  // behind those that were sent away before it, and up to a horizon. Only the
-  // first home that refuses it for load keeps a place, since it comes back
+  // Returns the delay after which a job that is refused now should be retried:
+  // when capacity is expected for it, after the jobs that were refused before
+  // it, and limited to a horizon. Only the first home that refuses a job
+  // because of overload reserves capacity for it, since the job is retried only
   // once.
-  duration RetryAfter(time_point now, const waiting_job& sent_away);
+  duration RetryAfter(time_point now, const waiting_job& refused);
 
  private:
-  void KeepPlace(int priority, time_point room, double work);
+  // Reserves capacity for refused work from `start` on.
+  void Reserve(int priority, time_point start, double work);
 
   room_rate rate_;
-  // Of waiting jobs that can still be in time: what goes before a new job.
+  // Work of waiting jobs that can still be in time, which is served before that
+  // of new jobs of the same priority.
   priority_work ahead_;
   double cores_ = 0;
-  // By when the work is done that was sent away.
-  std::map<int, time_point> promised_;
+  // By priority, when the refused work for which capacity is reserved will have
+  // been served.
+  std::map<int, time_point> reserved_until_;
 };
 
 }  // namespace jasminedyke
--- a/src/runs/room_rate.cc
+++ b/src/runs/room_rate.cc
@@ -8,33 +8,35 @@
 
 namespace {
 
-// Jobs may wait for upstreams of their own while all others idle; that must not
-// look as if nothing became free.
-constexpr double kLeastShare = room_rate::kUsableShare / 4;
-// Of the rate, at least, to any priority: some of its jobs get room between the
-// more urgent ones.
-constexpr double kLeastLeft = 0.1;
-
-// Nobody knows what waited in between while the home had ended or was frozen.
-constexpr duration kLongestLook = std::chrono::seconds(1);
-
-double Kept(duration passed, duration half_life) {
+// Lower bound of the share. Jobs may wait for particular upstreams while all
+// others are idle, and then few tasks end although capacity is free.
+constexpr double kMinShare = room_rate::kUsableShare / 4;
+// Fraction of the rate that is at least available to any priority: some of
+// its jobs are placed between the more urgent ones.
+constexpr double kMinAvailable = 0.1;
+
+// Longer intervals are skipped: the instance was not home or was suspended, so
+// it is unknown whether work waited.
+constexpr duration kMaxInterval = std::chrono::seconds(1);
+
+// Returns the weight that an earlier average keeps.
+double KeptWeight(duration passed, duration half_life) {
   return std::exp2(-ToSeconds(passed) / ToSeconds(half_life));
 }
 
-void Blend(double& mean, double seen, double kept) {
-  mean = kept * mean + (1 - kept) * seen;
+void Blend(double& mean, double share, double kept) {
+  mean = kept * mean + (1 - kept) * share;
 }
 
 }  // namespace
 
 void priority_work::Add(int priority, double work) {
-  auto place = all_.lower_bound(priority);
-  bool known = place != all_.end() && place->first == priority;
-  if (!known && all_.size() >= kMost) {
-    if (place == all_.end())
-      place = std::prev(place);
-    place->second += work;
+  auto position = all_.lower_bound(priority);
+  bool known = position != all_.end() && position->first == priority;
+  if (!known && all_.size() >= kMaxPriorities) {
+    if (position == all_.end())
+      position = std::prev(position);
+    position->second += work;
     return;
   }
   all_[priority] += work;
@@ -47,51 +49,51 @@
 
 double priority_work::UpTo(int priority) const {
   double sum = 0;
-  for (const auto& [each, work] : all_)
-    sum += each <= priority ? work : 0;
+  for (const auto& [other, work] : all_)
+    sum += other <= priority ? work : 0;
   return sum;
 }
 
 room_rate::room_rate() : share_(kUsableShare) {}
 
-void room_rate::Look(time_point now,
-                     const priority_work& done,
-                     double cores,
-                     bool work_waits) {
-  duration passed = now - looked_;
+void room_rate::Update(time_point now,
+                       const priority_work& done,
+                       double cores,
+                       bool work_waits) {
+  duration passed = now - updated_;
   double offered = ToSeconds(passed) * std::min(cores, cores_);
-  if (offered > 0 && passed <= kLongestLook) {
+  if (offered > 0 && passed <= kMaxInterval) {
     bool busy = work_waited_ && work_waits;
-    double kept = busy ? Kept(passed, kHalfLife) : 1;
-    double usual_kept = Kept(passed, kUsualHalfLife);
-    double all = 0;
+    double kept = busy ? KeptWeight(passed, kHalfLife) : 1;
+    double usual_kept = KeptWeight(passed, kUsualHalfLife);
+    double total = 0;
     for (const auto& [priority, work] : done.all()) {
-      double seen = (work - done_.Of(priority)) / offered;
-      all += seen;
-      Blend(shares_[priority], seen, kept);
-      Blend(usual_[priority], seen, usual_kept);
+      double share = (work - done_.Of(priority)) / offered;
+      total += share;
+      Blend(shares_[priority], share, kept);
+      Blend(usual_shares_[priority], share, usual_kept);
     }
-    Blend(share_, all, kept);
+    Blend(share_, total, kept);
   }
   done_ = done;
   cores_ = cores;
-  looked_ = now;
+  updated_ = now;
   work_waited_ = work_waits;
 }
 
-double room_rate::LeftTo(int priority) const {
-  double all = std::max(share_, kLeastShare);
-  double left = all;
-  for (const auto& [each, share] : shares_)
-    left -= each < priority ? share : 0;
-  return std::max(left, all * kLeastLeft) * cores_;
+double room_rate::RateAvailableTo(int priority) const {
+  double total = std::max(share_, kMinShare);
+  double available = total;
+  for (const auto& [other, used] : shares_)
+    available -= other < priority ? used : 0;
+  return std::max(available, total * kMinAvailable) * cores_;
 }
 
-double room_rate::SpareFor(int priority) const {
-  auto usual = usual_.find(priority);
-  double taken = usual == usual_.end() ? 0 : usual->second * cores_;
-  double left = LeftTo(priority);
-  return std::max(left - taken, left * kLeastLeft);
+double room_rate::SpareRateFor(int priority) const {
+  auto usual = usual_shares_.find(priority);
+  double taken = usual == usual_shares_.end() ? 0 : usual->second * cores_;
+  double available = RateAvailableTo(priority);
+  return std::max(available - taken, available * kMinAvailable);
 }
 
 }  // namespace jasminedyke
--- a/src/runs/room_rate.h
+++ b/src/runs/room_rate.h
@@ -1,5 +1,5 @@
-// How fast room becomes free at a home, and how much of it is left to jobs of a
-// priority.
+// Estimates how fast capacity becomes free at a home, and how much of it is
+// available to jobs of each priority.
 
 #ifndef SRC_RUNS_ROOM_RATE_H_
 #define SRC_RUNS_ROOM_RATE_H_
@@ -10,15 +10,16 @@
 
 namespace jasminedyke {
 
-// Core-seconds by priority. Operators may configure any number of priorities;
-// those beyond `kMost` count with the nearest one.
+// Core-seconds of work by priority; a lower number is more urgent. Operators
+// may configure any number of priorities. Once `kMaxPriorities` have been seen,
+// work of another priority is counted under a neighbouring one.
 class priority_work {
  public:
-  static constexpr size_t kMost = 8;
+  static constexpr size_t kMaxPriorities = 8;
 
   void Add(int priority, double work);
   double Of(int priority) const;
-  // Of that priority and of those that are more urgent.
+  // Returns the work of this priority and of all more urgent ones.
   double UpTo(int priority) const;
 
   const std::map<int, double>& all() const { return all_; }
@@ -27,42 +28,47 @@
   std::map<int, double> all_;
 };
 
-// Seen while work waits, as the core-seconds that end by those that upstreams
-// offer: so the rate follows at once when upstreams are lost or come. Both
-// sides are by callers' guesses, whose common error cancels out. What was seen
-// counts half as much after each `kHalfLife` of such time.
+// Estimates the rate as a share of the upstreams' cores, so that it follows at
+// once when upstreams are lost or added. The share is the core-seconds of tasks
+// that ended over the core-seconds that upstreams offered, measured only while
+// work waits. Finished and waiting work are both counted by callers' estimates,
+// whose common error cancels out. The weight of a measurement halves with each
+// `kHalfLife` during which work waits.
 class room_rate {
  public:
   static constexpr duration kHalfLife = std::chrono::seconds(1);
-  // Of what is usual, whatever waits.
+  // Half-life of the usual share of each priority, measured at all times.
   static constexpr duration kUsualHalfLife = std::chrono::seconds(5);
-  // Of all cores, until more is seen: tasks leave fragments on upstreams.
+  // Assumed share until it has been measured. It is below 1 because tasks leave
+  // fragments of upstreams' capacity unused.
   static constexpr double kUsableShare = 0.8;
 
   room_rate();
 
-  // `done`: of all tasks that have ended since this began. `work_waits`: now;
-  // time counts as busy if it does at two looks on end.
-  void Look(time_point now,
-            const priority_work& done,
-            double cores,
-            bool work_waits);
+  // Adds a measurement. `done` is the work of all tasks that have ended since
+  // this object was created; `work_waits` says whether work waits now. An
+  // interval counts as busy if work waits at both of its ends.
+  void Update(time_point now,
+              const priority_work& done,
+              double cores,
+              bool work_waits);
 
-  // Core-seconds a second that more urgent jobs leave.
-  double LeftTo(int priority) const;
-  // The same less what jobs of that priority usually take: for those that come
-  // beside them.
-  double SpareFor(int priority) const;
+  // Core-seconds per second that more urgent jobs leave to this priority.
+  double RateAvailableTo(int priority) const;
+  // Like `RateAvailableTo`, less what jobs of this priority usually take: the
+  // rate at which additional jobs of this priority can be served.
+  double SpareRateFor(int priority) const;
 
  private:
-  // Of the offered core-seconds: in all, and by priority as far as seen.
+  // Share of the offered core-seconds that is used while work waits, in total
+  // and for each priority seen so far.
   double share_;
   std::map<int, double> shares_;
-  // By priority, also while nothing waits.
-  std::map<int, double> usual_;
+  // Share used by each priority at all times.
+  std::map<int, double> usual_shares_;
   double cores_ = 0;
   priority_work done_;
-  time_point looked_;
+  time_point updated_;
   bool work_waited_ = false;
 };
 
