--- a/src/runs/home_room.cc
+++ b/src/runs/home_room.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void home_room::Look(time_point now, const capacity_snapshot& snapshot) {
+void home_room::Update(time_point now, const capacity_snapshot& snapshot) {
   rate_.Update(now, snapshot.done, snapshot.cores, !snapshot.waiting.empty());
   ahead_ = {};
   for (const waiting_job& job : snapshot.waiting) {
--- a/src/runs/home_room.h
+++ b/src/runs/home_room.h
@@ -28,7 +28,7 @@
 // the refused work are kept, as in weighted fair queueing.
 class home_room {
  public:
-  void Look(time_point now, const capacity_snapshot& snapshot);
+  void Update(time_point now, const capacity_snapshot& snapshot);
 
   // Returns how long a job that arrives now waits until the work that is served
   // before it has begun.
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -655,7 +655,7 @@
   load.cores = upstreams_.UsableCores();
   duration delay = answer_times_.Delay();
   std::vector<waiting_job> waiting = WaitingInOrder();
-  room_.Look(clock_.now(), {waiting, run_times_.done(), load.cores});
+  room_.Update(clock_.now(), {waiting, run_times_.done(), load.cores});
   for (waiting_job& each : waiting) {
     home_job& job = *each.job;
     bool hopeless =
--- a/tests/home_room/home_room_test.cc
+++ b/tests/home_room/home_room_test.cc
@@ -26,7 +26,7 @@
 
   void Update(duration passed = kUpdateInterval) {
     now += passed;
-    room.Look(now, {waiting, done, cores});
+    room.Update(now, {waiting, done, cores});
   }
 
   // Runs for `length` while tasks of one priority end that took `share` of the
