--- a/src/runs/admission_estimate.h
+++ b/src/runs/admission_estimate.h
@@ -10,7 +10,7 @@
 
 // Shortest delay after which a refused caller is asked to retry. The
 // Retry-After header has a resolution of whole seconds.
-constexpr duration kLeastRetryAfter = std::chrono::seconds(1);
+constexpr duration kMinRetryAfter = std::chrono::seconds(1);
 // Wait that is assumed while no upstream takes work: about how long it may take
 // until one is back.
 constexpr duration kWaitWithoutCores = std::chrono::seconds(1);
--- a/src/runs/home_room.cc
+++ b/src/runs/home_room.cc
@@ -43,7 +43,7 @@
     Reserve(priority, start, refused.work);
   for (auto& [other, until] : reserved_until_)
     until = std::min(until, now + kMaxRetryAfter);
-  return std::max(kLeastRetryAfter, start - now);
+  return std::max(kMinRetryAfter, start - now);
 }
 
 // Less urgent work that was refused is served later by as much.
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -488,7 +488,7 @@
     home_job& job = *waiting.job;
     start_permit permit = gate_.Permit(!job.IsUntouched(), clock_.now());
     if (permit == start_permit::kHandBack)
-      HandBack(job, run_refusal::kDrained, kLeastRetryAfter);
+      HandBack(job, run_refusal::kDrained, kMinRetryAfter);
     if (permit != start_permit::kStart || !CanStart(job))
       continue;
     if (const home_task* held = HeldTask(job)) {
@@ -499,7 +499,7 @@
       PassOn(job);
     else if (job.IsRejected(kMostRejections) ||
              (!PlaceTasks(job) && job.IsRejected(1)))
-      HandBack(job, run_refusal::kNotAccepted, kLeastRetryAfter);
+      HandBack(job, run_refusal::kNotAccepted, kMinRetryAfter);
   }
   DropCancelled();
 }
@@ -516,7 +516,7 @@
 void run_home::HandBack(home_job& job,
                         run_refusal reason,
                         duration retry_after) {
-  Refuse(job, reason, std::max(retry_after, kLeastRetryAfter));
+  Refuse(job, reason, std::max(retry_after, kMinRetryAfter));
   CancelJob(job);
 }
 
@@ -668,7 +668,7 @@
     if (upstreams_.CouldEverRun(job))
       Refuse(job, run_refusal::kOverload, room_.RetryAfter(clock_.now(), each));
     else
-      Refuse(job, run_refusal::kNoUpstream, kLeastRetryAfter);
+      Refuse(job, run_refusal::kNoUpstream, kMinRetryAfter);
     CancelJob(job);
   }
   DropCancelled();
