--- a/src/runs/run_times.cc
+++ b/src/runs/run_times.cc
@@ -87,10 +87,10 @@
   return false;
 }
 
-void run_times::OnForetold(const home_job& job,
-                           const home_task& task,
-                           duration takes,
-                           time_point now) {
+void run_times::OnPredictedTime(const home_job& job,
+                                const home_task& task,
+                                duration takes,
+                                time_point now) {
   if (const upstream_session* session = upstreams_.Find(task.upstream))
     Judge(job, task, session->info(), takes, now);
 }
--- a/src/runs/run_times.h
+++ b/src/runs/run_times.h
@@ -29,10 +29,10 @@
   // Of all tasks that ended, by callers' guesses.
   const priority_work& done() const { return done_; }
   // `task` will take about `takes` in all, by its progress.
-  void OnForetold(const home_job& job,
-                  const home_task& task,
-                  duration takes,
-                  time_point now);
+  void OnPredictedTime(const home_job& job,
+                       const home_task& task,
+                       duration takes,
+                       time_point now);
 
   // On a sound upstream of usual speed, near the task's data; by what others
   // than the task's upstream have run.
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -177,7 +177,7 @@
                              duration takes,
                              const std::function<duration()>& room_wait) {
   time_point now = clock_.now();
-  times_.OnForetold(job, task, takes, now);
+  times_.OnPredictedTime(job, task, takes, now);
   if (!upstreams_.Standing(task.upstream).slow())
     return;
   time_point ends = task.ordered_at + takes;
