--- a/src/runs/run_times.cc
+++ b/src/runs/run_times.cc
@@ -24,8 +24,8 @@
                        job.PaceWithout(task.upstream));
 }
 
-run_expectation run_times::ExpectThere(const home_job& job,
-                                       const home_task& task) const {
+run_expectation run_times::ExpectOnUpstream(const home_job& job,
+                                            const home_task& task) const {
   run_expectation expected = Expect(job, task);
   const upstream_session* session = upstreams_.Find(task.upstream);
   if (!session)
--- a/src/runs/run_times.h
+++ b/src/runs/run_times.h
@@ -38,7 +38,8 @@
   // than the task's upstream have run.
   run_expectation Expect(const home_job& job, const home_task& task) const;
   // Where it is running.
-  run_expectation ExpectThere(const home_job& job, const home_task& task) const;
+  run_expectation ExpectOnUpstream(const home_job& job,
+                                   const home_task& task) const;
 
  private:
   // Its time over what is usual on upstreams of its kind.
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -148,7 +148,7 @@
   // Both the start and the word of the end may have taken so long on their way.
   sight.took =
       clock_.now() - task.ordered_at - answers_.Patience(duration::zero());
-  sight.expected = times_.ExpectThere(job, task);
+  sight.expected = times_.ExpectOnUpstream(job, task);
   sight.expected.longest = Times(
       sight.expected.longest,
       std::pow(kAllowedAgain, std::min(task.stopped_as_long, kMostAllowances)));
