--- a/src/runs/answer_times.cc
+++ b/src/runs/answer_times.cc
@@ -29,7 +29,7 @@
   return mean_ > kLate;
 }
 
-duration answer_times::Patience(duration least) const {
+duration answer_times::Timeout(duration least) const {
   return std::clamp(mean_ + deviation_ * kDeviations, least, kLongestPatience);
 }
 
--- a/src/runs/answer_times.h
+++ b/src/runs/answer_times.h
@@ -21,7 +21,7 @@
   void Note(duration took);
 
   // An answer that takes longer is likely lost; at least `least`.
-  duration Patience(duration least) const;
+  duration Timeout(duration least) const;
   // What an order and the word of its end lose on their way.
   duration Delay() const { return mean_; }
   // The home's own link or processor is behind.
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -147,7 +147,7 @@
   run_sight sight;
   // Both the start and the word of the end may have taken so long on their way.
   sight.took =
-      clock_.now() - task.ordered_at - answers_.Patience(duration::zero());
+      clock_.now() - task.ordered_at - answers_.Timeout(duration::zero());
   sight.expected = times_.ExpectOnUpstream(job, task);
   sight.expected.longest = Times(
       sight.expected.longest,
@@ -155,7 +155,7 @@
   sight.pace_known = job.PaceWithout(task.upstream) > 0;
   sight.adopted = task.adopted;
   sight.asked = task.asked_at > task.ordered_at &&
-                clock_.now() - task.asked_at >= answers_.Patience(kAnswerTime);
+                clock_.now() - task.asked_at >= answers_.Timeout(kAnswerTime);
   auto progress = session.Progress({job.key, 0, task.demand.position});
   // An adopted run may have been listed before it was claimed.
   if (progress && progress->listed > task.ordered_at) {
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -102,7 +102,7 @@
   std::unique_ptr<upstream_life> old = std::move(life_);
   life_ = std::make_unique<upstream_life>(clock_, birth, *old);
   if (life_->runs.HasUnclear())
-    WatchStarts(times_.Patience(kStartPatience));
+    WatchStarts(times_.Timeout(kStartPatience));
   upstream_loss loss{{info_.id, old->birth}, true, {}};
   for (const auto& [task, record] : old->runs.all()) {
     // One order, whichever incarnations it is carried over to.
@@ -163,7 +163,7 @@
                                  [this] { SendHold(life_->hold); });
   SendSpareHold();
   if (!life_->start_timer.active())
-    WatchStarts(times_.Patience(kStartPatience));
+    WatchStarts(times_.Timeout(kStartPatience));
   port_.Start(info_.id, order,
               [this, task, run, life = lives_,
                sent = clock_.now()](const start_reply& reply) {
@@ -250,7 +250,7 @@
     return;
   record.stop_in_flight = true;
   port_.Stop(info_.id,
-             {task, record.run, token_, times_.Patience(kAnswerPatience)},
+             {task, record.run, token_, times_.Timeout(kAnswerPatience)},
              [this, task, run = record.run, life = lives_](call_result result) {
                if (life != lives_)
                  return;
@@ -283,7 +283,7 @@
 
 void upstream_session::CheckStarts() {
   std::vector<task_name> in_doubt =
-      life_->runs.InDoubt(clock_.now(), times_.Patience(kStartPatience));
+      life_->runs.InDoubt(clock_.now(), times_.Timeout(kStartPatience));
   if (in_doubt.empty())
     return;
   for (const task_name& task : in_doubt) {
@@ -300,7 +300,7 @@
 // number it refuses the order whenever it comes.
 void upstream_session::RefuseUnlistedStarts(time_point sent,
                                             const hold_reply& reply) {
-  duration patience = times_.Patience(kStartPatience);
+  duration patience = times_.Timeout(kStartPatience);
   for (const task_name& task : life_->runs.InDoubt(sent, patience)) {
     run_record* record = life_->runs.Find(task);
     if (!record->refused_since && !IsListed(reply, task, record->run))
@@ -325,7 +325,7 @@
   order.token = token_;
   // The next incarnation must not forget ends of its own by our number.
   order.acknowledged = life_->MayBeOver() ? 0 : life_->acknowledged;
-  order.patience = times_.Patience(kAnswerPatience);
+  order.patience = times_.Timeout(kAnswerPatience);
   if (life_->settled && life_->clock.known() && !life_->runs.HasFound() &&
       !life_->runs.empty() && (life_->Answers() || life_->failed_holds == 0)) {
     order.lease_until = life_->clock.Latest();
--- a/tests/answer_times/answer_times_test.cc
+++ b/tests/answer_times/answer_times_test.cc
@@ -21,14 +21,14 @@
   answer_times times;
   for (int i = 0; i < 500; ++i)
     times.Note(milliseconds(3));
-  CHECK(times.Patience(kLeast) == kLeast);
+  CHECK(times.Timeout(kLeast) == kLeast);
   for (int i = 0; i < 100; ++i)
     times.Note(milliseconds(150));
-  CHECK(times.Patience(kLeast) >= milliseconds(150));
+  CHECK(times.Timeout(kLeast) >= milliseconds(150));
   // And back again once the link is free.
   for (int i = 0; i < 300; ++i)
     times.Note(milliseconds(3));
-  CHECK(times.Patience(kLeast) == kLeast);
+  CHECK(times.Timeout(kLeast) == kLeast);
 }
 
 TEST_CASE("answer_times: one upstream in fifty answers late") {
@@ -37,7 +37,7 @@
   answer_times times;
   for (int i = 0; i < 2000; ++i)
     times.Note(i % 50 == 0 ? milliseconds(250) : milliseconds(3));
-  CHECK(times.Patience(kLeast) <= milliseconds(96));
+  CHECK(times.Timeout(kLeast) <= milliseconds(96));
 }
 
 }  // namespace jasminedyke
