--- a/src/runs/answer_times.cc
+++ b/src/runs/answer_times.cc
@@ -6,31 +6,36 @@
 
 namespace {
 
-// RFC 6298 takes an eighth of each answer, of one connection; a home has some
-// hundred answers a second from many upstreams. With this it follows a change
-// within a third of a second, and one late answer in ten moves it little.
-constexpr int kWeight = 32;
-constexpr int kDeviations = 4;
-// Answers take 2 to 5 ms, through a job's owner up to 10; a task of 60 ms that
-// loses 40 ms on the way to its upstream misses its objective on the way back.
-constexpr duration kLate = std::chrono::milliseconds(40);
-// What the calls' own time limits allow.
-constexpr duration kLongestPatience = std::chrono::milliseconds(300);
+// Each answer has a weight of 1 / `kAveragingDivisor`. RFC 6298 uses an eighth
+// for the answers of one connection, but a home gets about a hundred answers
+// per second from many upstreams. With 32 the averages follow a change within a
+// third of a second, and one late answer in ten changes them little.
+constexpr int kAveragingDivisor = 32;
+// Number of deviations above the mean at which a call times out, as in RFC
+// 6298.
+constexpr int kTimeoutDeviations = 4;
+// Answers usually take 2 to 5 ms, and up to 10 ms through a job's owner. A task
+// of 60 ms whose order is delayed by 40 ms misses its objective when its answer
+// is delayed as much.
+constexpr duration kLateAnswer = std::chrono::milliseconds(40);
+// Longer timeouts would exceed the time limits of the calls themselves.
+constexpr duration kMaxTimeout = std::chrono::milliseconds(300);
 
 }  // namespace
 
 void answer_times::Note(duration took) {
-  duration off = took > mean_ ? took - mean_ : mean_ - took;
-  deviation_ += (off - deviation_) / kWeight;
-  mean_ += (took - mean_) / kWeight;
+  duration deviation = took > mean_ ? took - mean_ : mean_ - took;
+  deviation_ += (deviation - deviation_) / kAveragingDivisor;
+  mean_ += (took - mean_) / kAveragingDivisor;
 }
 
 bool answer_times::AllLate() const {
-  return mean_ > kLate;
+  return mean_ > kLateAnswer;
 }
 
-duration answer_times::Timeout(duration least) const {
-  return std::clamp(mean_ + deviation_ * kDeviations, least, kLongestPatience);
+duration answer_times::Timeout(duration minimum) const {
+  return std::clamp(mean_ + deviation_ * kTimeoutDeviations, minimum,
+                    kMaxTimeout);
 }
 
 }  // namespace jasminedyke
--- a/src/runs/answer_times.h
+++ b/src/runs/answer_times.h
@@ -1,4 +1,4 @@
-// How long upstreams take to answer a home, at present.
+// Estimates how long upstreams currently take to answer a home.
 
 #ifndef SRC_RUNS_ANSWER_TIMES_H_
 #define SRC_RUNS_ANSWER_TIMES_H_
@@ -7,24 +7,28 @@
 
 namespace jasminedyke {
 
-// One estimate for all upstreams of a home. A single one that is slow, hung or
-// cut off hardly moves it; if all are late, the home's own link or processor
-// is, and what it would do about a late answer (look again, stop, start anew)
-// only adds to that. With fixed patience a home whose link was two thirds full
-// went into a collapse that lasted: 7 % of its callers were served.
+// One estimate for all upstreams of a home. A single upstream that is slow,
+// hung or disconnected hardly changes it. If all answers are late, the home's
+// own link or processor is overloaded, and reacting to late answers (asking
+// again, stopping and restarting runs) only adds to the load. With a fixed
+// timeout, a home whose link was two thirds full collapsed and did not recover:
+// 7 % of its callers were served.
 //
-// The estimate is that of TCP's retransmission timer (RFC 6298): mean and mean
-// deviation, each by an exponential average.
+// The estimate is the one of TCP's retransmission timer (RFC 6298): exponential
+// moving averages of the time and of its absolute deviation.
 class answer_times {
  public:
-  // Of a call that the upstream answers at once.
+  // Adds the duration of a call that upstreams answer at once.
   void Note(duration took);
 
-  // An answer that takes longer is likely lost; at least `least`.
-  duration Timeout(duration least) const;
-  // What an order and the word of its end lose on their way.
+  // Returns the time after which an answer is likely lost: at least `minimum`,
+  // up to a fixed limit.
+  duration Timeout(duration minimum) const;
+  // Returns the total delay of messages when a task is started and its end is
+  // reported.
   duration Delay() const { return mean_; }
-  // The home's own link or processor is behind.
+  // Returns true if answers are late on average, which means that the home's
+  // own link or processor is overloaded.
   bool AllLate() const;
 
  private:
--- a/src/runs/home_directory.cc
+++ b/src/runs/home_directory.cc
@@ -7,31 +7,31 @@
 
 namespace {
 
-// What a job in another failure domain costs besides its wait: the longer way
-// of its messages, and bytes between domains, which are paid for.
-constexpr duration kCostOfOtherDomain = std::chrono::milliseconds(10);
-
-// What is left free on upstreams is not all of use: tasks of 14 cores leave 4
-// of 32 unused.
-constexpr double kUsableRoom = 0.8;
-// How long the tasks take that a job waits for: between the 60 ms and the
-// 900 ms of the users' queues, most of whose tasks take 200 ms.
-constexpr duration kUsualRunTime = std::chrono::milliseconds(200);
-
-// Homes tell their status each 50 ms; one that missed four is slow, paused or
-// dead, which shows on its link only after a second. Until then new jobs do
-// better elsewhere.
-constexpr duration kQuietAfter = std::chrono::milliseconds(200);
+// Added to the wait of a job in another failure domain, for the longer latency
+// of its messages and for the traffic between domains, which is charged.
+constexpr duration kOtherDomainPenalty = std::chrono::milliseconds(10);
+
+// Share of the free capacity that tasks can use, because of fragmentation:
+// tasks of 14 cores leave 4 cores of 32 unused.
+constexpr double kUsableShare = 0.8;
+// Assumed run time of the tasks that a job waits for. Tasks of the users'
+// queues take from 60 ms to 900 ms, most of them 200 ms.
+constexpr duration kTypicalRunTime = std::chrono::milliseconds(200);
+
+// Age at which a status is outdated. Homes send their status every 50 ms; one
+// that missed four is slow, suspended or has crashed, which its link shows only
+// after a second. Until then new jobs are better sent elsewhere.
+constexpr duration kOutdatedAfter = std::chrono::milliseconds(200);
 
 double UsableMillis(const home_status& status) {
-  return static_cast<double>(status.free_cpu_millis) * kUsableRoom;
+  return static_cast<double>(status.free_cpu_millis) * kUsableShare;
 }
 
-// All of a group's cores become free once in a usual run time.
-duration WaitForPlaces(const home_status& status, int64_t cpu_millis) {
+// Assumes that all cores of a group become free once per typical run time.
+duration WaitForCapacity(const home_status& status, int64_t cpu_millis) {
   double missing = static_cast<double>(cpu_millis) - UsableMillis(status);
   double share = missing / static_cast<double>(status.total_cpu_millis);
-  return FromSeconds(std::max(0.0, share) * ToSeconds(kUsualRunTime));
+  return FromSeconds(std::max(0.0, share) * ToSeconds(kTypicalRunTime));
 }
 
 }  // namespace
@@ -80,7 +80,7 @@
 std::vector<known_home> home_directory::Ranked(const failure_domain_id& own,
                                                int64_t cpu_millis) const {
   struct candidate {
-    bool quiet;
+    bool outdated;
     duration cost;
     const known_home* home;
   };
@@ -88,19 +88,19 @@
   for (const auto& [group, home] : homes_) {
     if (home.status.total_cpu_millis == 0 || drained_.contains(group.domain))
       continue;
-    duration cost = home.status.wait + WaitForPlaces(home.status, cpu_millis);
+    duration cost = home.status.wait + WaitForCapacity(home.status, cpu_millis);
     if (group.domain != own)
-      cost += kCostOfOtherDomain;
-    bool quiet = clock_.now() - home.heard > kQuietAfter;
-    candidates.push_back({quiet, cost, &home});
+      cost += kOtherDomainPenalty;
+    bool outdated = clock_.now() - home.heard > kOutdatedAfter;
+    candidates.push_back({outdated, cost, &home});
   }
-  std::ranges::stable_sort(candidates, {}, [](const candidate& each) {
-    return std::pair(each.quiet, each.cost);
+  std::ranges::stable_sort(candidates, {}, [](const candidate& option) {
+    return std::pair(option.outdated, option.cost);
   });
   std::vector<known_home> ranked;
   ranked.reserve(candidates.size());
-  for (const candidate& each : candidates)
-    ranked.push_back(*each.home);
+  for (const candidate& option : candidates)
+    ranked.push_back(*option.home);
   return ranked;
 }
 
@@ -112,9 +112,9 @@
   domains_ = domains;
 }
 
-// By the domains and not by the known homes: after a loss of power the drained
-// domain's home may be the first, and callers would be sent away for seconds
-// though the others serve 0.1 s later.
+// This compares domains and not the known homes: after a power failure, the
+// home of a drained domain may be the first to return, and callers would be
+// refused for seconds although the other homes serve 0.1 s later.
 bool home_directory::AllDrained() const {
   return !domains_.empty() && std::ranges::includes(drained_, domains_);
 }
--- a/src/runs/home_directory.h
+++ b/src/runs/home_directory.h
@@ -1,4 +1,5 @@
-// Which instance is home to which group of upstreams, as the homes tell.
+// Tracks which instance is home to each group of upstreams, as reported by the
+// homes.
 
 #ifndef SRC_RUNS_HOME_DIRECTORY_H_
 #define SRC_RUNS_HOME_DIRECTORY_H_
@@ -12,46 +13,53 @@
 
 namespace jasminedyke {
 
+// The latest status of a home and when it was received.
 struct known_home {
   instance_id instance;
   home_status status;
   time_point heard;
 };
 
-// The newest word of each group's home. Of two that claim a group, the higher
-// token counts.
+// Keeps the latest status of each group's home. If two instances claim a group,
+// the one with the higher fencing token is its home.
 class home_directory {
  public:
   explicit home_directory(scheduler& clock) : clock_(clock) {}
 
-  // True if another instance is the group's home now.
+  // Returns true if the group's home or its fencing token has changed, or if
+  // the group has no home any more.
   bool Update(const instance_id& from, const home_status& status);
-  // Forgets what that instance was home to. True if it was any.
+  // Forgets the groups of this instance. Returns true if it had any.
   bool OnPeerDown(const instance_id& peer);
 
-  // Null if no home is known that serves.
+  // Returns null if no serving home of the group is known.
   const known_home* Find(const home_group& group) const;
 
-  // The homes that take jobs, best first for a job from `own` that needs
-  // `cpu_millis` at once: a home elsewhere goes first only if the wait that it
-  // saves pays for the way. Those that went quiet come last.
+  // Returns the homes that take jobs, best first for a job that comes from the
+  // failure domain `own` and needs `cpu_millis` at once. A home in another
+  // domain is preferred only if it saves more wait than the transfer costs.
+  // Homes whose status is outdated come last.
   std::vector<known_home> Ranked(const failure_domain_id& own,
                                  int64_t cpu_millis = 0) const;
 
-  // Nothing is sent to homes in these failure domains.
+  // Sets the failure domains to whose homes no jobs are sent.
   void SetDrained(const std::set<failure_domain_id>& domains);
-  // All failure domains that have instances, also those without a home now.
+  // Sets all failure domains that have instances, including those without a
+  // home.
   void SetDomains(const std::set<failure_domain_id>& domains);
-  // No failure domain is left that takes jobs, or will once it has a home.
+  // Returns true if every failure domain is drained, so that none takes jobs
+  // now or once it has a home.
   bool AllDrained() const;
 
-  // Work was sent there: until the home's next word it has less room.
+  // Deducts work that was sent to the home from its free capacity, until its
+  // next status arrives.
   void NoteSent(const home_group& group, int64_t cpu_millis);
 
-  // True if that home seems to have places for a job that needs so much.
+  // Returns true if a home with this status probably has free capacity for a
+  // job that needs `cpu_millis`.
   static bool HasPlaces(const home_status& status, int64_t cpu_millis);
 
-  // The highest token heard of for a group; 0 if none.
+  // Returns the highest token received for a group, or 0 if there is none.
   fencing_token HighestToken(const home_group& group) const;
 
  private:
--- a/src/runs/home_room.cc
+++ b/src/runs/home_room.cc
@@ -17,16 +17,16 @@
 void home_room::Update(time_point now, const capacity_snapshot& snapshot) {
   rate_.Update(now, snapshot.done, snapshot.cores, !snapshot.waiting.empty());
   ahead_ = {};
-  for (const waiting_job& job : snapshot.waiting) {
-    if (job.rank.chance == job_chance::kInTime)
-      ahead_.Add(job.rank.priority, job.work);
+  for (const waiting_job& queued : snapshot.waiting) {
+    if (queued.rank.chance == job_chance::kInTime)
+      ahead_.Add(queued.rank.priority, queued.work);
   }
   cores_ = snapshot.cores;
   std::erase_if(reserved_until_,
                 [&](const auto& entry) { return entry.second < now; });
 }
 
-duration home_room::WaitOf(int priority) const {
+duration home_room::ExpectedWait(int priority) const {
   if (cores_ <= 0)
     return kWaitWithoutCores;
   return std::min(kMaxRetryAfter, FromSeconds(ahead_.UpTo(priority) /
@@ -35,7 +35,7 @@
 
 duration home_room::RetryAfter(time_point now, const waiting_job& refused) {
   int priority = refused.rank.priority;
-  time_point start = now + WaitOf(priority);
+  time_point start = now + ExpectedWait(priority);
   for (const auto& [other, until] : reserved_until_)
     start = other <= priority ? std::max(start, until) : start;
   start = std::min(start, now + kMaxRetryAfter);
--- a/src/runs/home_room.h
+++ b/src/runs/home_room.h
@@ -32,7 +32,7 @@
 
   // Returns how long a job that arrives now waits until the work that is served
   // before it has begun.
-  duration WaitOf(int priority) const;
+  duration ExpectedWait(int priority) const;
   // Returns the delay after which a job that is refused now should be retried:
   // when capacity is expected for it, after the jobs that were refused before
   // it, and limited to a horizon. Only the first home that refuses a job
--- a/src/runs/home_speeds.cc
+++ b/src/runs/home_speeds.cc
@@ -10,27 +10,28 @@
 namespace {
 
 constexpr duration kUpdateInterval = std::chrono::milliseconds(100);
-// Smaller changes are not told.
-constexpr double kNoticeable = 1.1;
-// Beyond these an upstream counts as slow or fast in logs.
-constexpr double kSlow = 0.75;
-constexpr double kFast = 1.33;
-// Of one call; the others are logged when they are told.
-constexpr int kMostLogLines = 5;
-
-const char* NameOf(double speed) {
-  if (speed < kSlow)
+// Ratio of speeds from which on a change is sent.
+constexpr double kNoticeableRatio = 1.1;
+// Speeds below and above which logs call an upstream slow or fast.
+constexpr double kSlowBelow = 0.75;
+constexpr double kFastAbove = 1.33;
+// Limit of the log lines of one call; further changes are not logged.
+constexpr int kMaxLogLines = 5;
+
+const char* DescribeSpeed(double speed) {
+  if (speed < kSlowBelow)
     return "slow";
-  return speed > kFast ? "fast" : "usual";
+  return speed > kFastAbove ? "fast" : "usual";
 }
 
-bool Differ(double a, double b) {
-  return std::max(a, b) > std::min(a, b) * kNoticeable;
+bool DifferNoticeably(double a, double b) {
+  return std::max(a, b) > std::min(a, b) * kNoticeableRatio;
 }
 
 }  // namespace
 
-// Labels name what an upstream's machine is like; the rack says nothing of it.
+// Labels describe an upstream's machine, except for the rack's label, which
+// only says where the machine is.
 std::string KindOf(const upstream_info& info) {
   std::string kind = info.service.str();
   for (const std::string& label : info.labels) {
@@ -40,21 +41,21 @@
   return kind;
 }
 
-home_speeds::known_upstream& home_speeds::Find(const upstream_info& info) {
+home_speeds::known_upstream& home_speeds::FindOrAdd(const upstream_info& info) {
   auto [found, is_new] = known_.try_emplace(info.id);
   known_upstream& known = found->second;
   if (!is_new && known.birth == info.birth)
     return known;
-  learnt_.Forget(info.id);
+  learned_.Forget(info.id);
   ++changes_;
   known = {info.birth, KindOf(info)};
   Update(info.id, known);
-  known.told = known.speed;
+  known.shared_speed = known.speed;
   return known;
 }
 
 void home_speeds::Update(const upstream_id& id, known_upstream& known) {
-  known.speed = learnt_.Of(id, known.kind);
+  known.speed = learned_.Of(id, known.kind);
   int speed_class = SpeedClass(known.speed);
   if (speed_class != known.speed_class)
     ++changes_;
@@ -69,23 +70,24 @@
     Update(id, known);
 }
 
-void home_speeds::Note(const upstream_info& info,
-                       duration usual,
-                       duration took,
-                       time_point now) {
+void home_speeds::RecordRun(const upstream_info& info,
+                            duration usual,
+                            duration took,
+                            time_point now) {
   auto found = known_.find(info.id);
-  // A run that an earlier incarnation had.
-  bool other = found != known_.end() && found->second.birth != info.birth;
-  if (other)
+  // Ignores runs of an earlier incarnation.
+  bool other_incarnation =
+      found != known_.end() && found->second.birth != info.birth;
+  if (other_incarnation)
     return;
-  known_upstream& known = Find(info);
-  learnt_.Note(info.id, known.kind, usual, took, now);
+  known_upstream& known = FindOrAdd(info);
+  learned_.Note(info.id, known.kind, usual, took, now);
   Update(info.id, known);
   UpdateAll(now);
 }
 
 double home_speeds::OfKind(const upstream_info& info) const {
-  return learnt_.OfKind(KindOf(info));
+  return learned_.OfKind(KindOf(info));
 }
 
 const home_speeds::known_upstream* home_speeds::FindKnown(
@@ -112,13 +114,13 @@
     bool gone =
         found == registered.end() || found->second.birth != entry.second.birth;
     if (gone) {
-      learnt_.Forget(entry.first);
+      learned_.Forget(entry.first);
       ++changes_;
     }
     return gone;
   });
   for (const auto& [id, info] : registered)
-    Find(info);
+    FindOrAdd(info);
 }
 
 speed_news home_speeds::TakeNews(time_point now) {
@@ -126,16 +128,17 @@
   speed_news news;
   int lines = 0;
   for (auto& [id, known] : known_) {
-    if (!Differ(known.speed, known.told))
+    if (!DifferNoticeably(known.speed, known.shared_speed))
       continue;
-    bool other_class = NameOf(known.speed) != NameOf(known.told);
-    if (other_class && lines++ < kMostLogLines)
+    bool other_class =
+        DescribeSpeed(known.speed) != DescribeSpeed(known.shared_speed);
+    if (other_class && lines++ < kMaxLogLines)
       LogEvent(log_level::kInfo, "upstream_speed",
                {{"upstream", id.str()},
                 {"speed", known.speed},
-                {"is", NameOf(known.speed)},
-                {"was", NameOf(known.told)}});
-    known.told = known.speed;
+                {"is", DescribeSpeed(known.speed)},
+                {"was", DescribeSpeed(known.shared_speed)}});
+    known.shared_speed = known.speed;
     news.speeds.push_back({id, known.birth, known.speed});
   }
   return news;
@@ -157,10 +160,10 @@
     auto found = registered.find(each.id);
     if (found == registered.end() || found->second.birth != each.birth)
       continue;
-    known_upstream& known = Find(found->second);
-    learnt_.Take(each.id, known.kind, each.speed, now);
+    known_upstream& known = FindOrAdd(found->second);
+    learned_.Take(each.id, known.kind, each.speed, now);
     Update(each.id, known);
-    known.told = known.speed;
+    known.shared_speed = known.speed;
   }
 }
 
--- a/src/runs/home_speeds.h
+++ b/src/runs/home_speeds.h
@@ -1,5 +1,5 @@
-// The speeds of one group's upstreams, as its home learns them and tells them
-// to the instance that may succeed it.
+// The speeds of one group's upstreams, which its home learns from runs and
+// sends to the instances that may succeed it.
 
 #ifndef SRC_RUNS_HOME_SPEEDS_H_
 #define SRC_RUNS_HOME_SPEEDS_H_
@@ -15,6 +15,7 @@
 
 namespace jasminedyke {
 
+// The speed of one incarnation of an upstream; 1 is the usual speed.
 struct upstream_speed {
   upstream_id id;
   upstream_birth birth;
@@ -23,14 +24,14 @@
   bool operator==(const upstream_speed&) const = default;
 };
 
-// To the other instances of the home's failure domain.
+// Speeds that a home sends to the other instances of its failure domain.
 struct speed_news {
   std::vector<upstream_speed> speeds;
 
   bool operator==(const speed_news&) const = default;
 };
 
-// How many upstreams of a kind, and how fast they are.
+// The number of upstreams of one kind and their speeds.
 struct kind_speed {
   int upstreams = 0;
   double mean = 0;
@@ -38,63 +39,71 @@
   double fastest = 0;
 };
 
-// Upstreams of one service with the same labels are of one kind.
+// Returns a name of the upstream's kind. Upstreams of one service with the same
+// labels, apart from the rack, are of one kind.
 std::string KindOf(const upstream_info& info);
 
-// A speed belongs to one incarnation of an upstream. Kept while the instance is
-// no home, so that a successor places by it at once.
+// Learns the speed of each incarnation of an upstream. The speeds are also kept
+// by instances that are not home, so that a successor can use them at once.
 class home_speeds {
  public:
-  // A run that would have taken `usual` at the usual speed took `took`.
-  void Note(const upstream_info& info,
-            duration usual,
-            duration took,
-            time_point now);
-  // 1 is usual.
+  // Records a run that took `took` and would have taken `usual` at the usual
+  // speed.
+  void RecordRun(const upstream_info& info,
+                 duration usual,
+                 duration took,
+                 time_point now);
+  // Returns the speed of an upstream; 1 is the usual speed.
   double Of(const upstream_info& info) const;
-  // The same as a class of speeds, worked out when the speed changed.
+  // Returns the speed class, which is computed whenever the speed changes.
   int ClassOf(const upstream_info& info) const;
-  // Differs from an earlier value if `ClassOf` may have changed since.
-  uint64_t changes() const { return changes_ + learnt_.refreshes(); }
-  // Of all that are like it.
+  // A counter that changes whenever a result of `ClassOf` may have changed.
+  uint64_t changes() const { return changes_ + learned_.refreshes(); }
+  // Returns the speed of the upstream's kind.
   double OfKind(const upstream_info& info) const;
 
-  // Forgets upstreams that are gone or have another incarnation.
+  // Adds the registered upstreams and forgets those that are no longer
+  // registered or have another incarnation.
   void Keep(const upstream_registry& registered);
 
-  // What changed noticeably since the last call. Logs what became slow or fast.
+  // Returns the speeds that have changed noticeably since they were last sent,
+  // and logs upstreams that have become slow, fast or usual.
   speed_news TakeNews(time_point now);
+  // Returns all speeds other than the usual one.
   speed_news All() const;
-  // From the home; what is said of upstreams that are not in `registered`, or
-  // of another incarnation, changes nothing.
+  // Applies speeds received from the home. Upstreams that are not in
+  // `registered` and other incarnations are ignored.
   void Take(const speed_news& news,
             const upstream_registry& registered,
             time_point now);
 
-  // By kind: an upstream's service and labels.
+  // Returns statistics by kind, see `KindOf`.
   std::map<std::string, kind_speed> ByKind() const;
 
  private:
   struct known_upstream {
     upstream_birth birth;
     std::string kind;
-    // As of the last look.
+    // As of the last update.
     double speed = 1;
-    // `SpeedClass(speed)`; each change counts in `changes_`.
+    // `SpeedClass(speed)`; each change of it increments `changes_`.
     int speed_class = 0;
-    // As last told to others.
-    double told = 1;
+    // The speed last sent to or received from another instance.
+    double shared_speed = 1;
   };
 
-  // Null if only its kind is known.
+  // Returns null if only the speed of the upstream's kind is known.
   const known_upstream* FindKnown(const upstream_info& info) const;
-  known_upstream& Find(const upstream_info& info);
+  // Returns the entry of this incarnation, which replaces that of another one.
+  known_upstream& FindOrAdd(const upstream_info& info);
   void Update(const upstream_id& id, known_upstream& known);
-  // All speeds: each depends on the mean.
+  // Updates all speeds, because each is relative to the mean of all; does so at
+  // most once per update interval.
   void UpdateAll(time_point now);
 
-  upstream_speeds learnt_;
+  upstream_speeds learned_;
   std::map<upstream_id, known_upstream> known_;
+  // Time of the last `UpdateAll`.
   time_point updated_;
   uint64_t changes_ = 0;
 };
--- a/src/runs/home_upstreams.cc
+++ b/src/runs/home_upstreams.cc
@@ -67,9 +67,9 @@
   return std::ranges::all_of(job.tasks, [&](const auto& entry) {
     const home_task& task = entry.second;
     return task.phase == task_phase::kDone ||
-           std::ranges::any_of(sessions_, [&](const auto& each) {
-             return MayRun(*each.second, job, task) &&
-                    task.demand.need.Fits(each.second->largest_capacity());
+           std::ranges::any_of(sessions_, [&](const auto& candidate) {
+             return MayRun(*candidate.second, job, task) &&
+                    task.demand.need.Fits(candidate.second->largest_capacity());
            });
   });
 }
--- a/src/runs/home_upstreams.h
+++ b/src/runs/home_upstreams.h
@@ -1,5 +1,5 @@
-// The upstreams of one home: a session with each, and what their last runs say
-// about them.
+// The upstreams of one home: a session with each, and an assessment of each
+// from its latest runs.
 
 #ifndef SRC_RUNS_HOME_UPSTREAMS_H_
 #define SRC_RUNS_HOME_UPSTREAMS_H_
@@ -22,41 +22,43 @@
   using session_map = std::map<upstream_id, std::unique_ptr<upstream_session>>;
 
   const session_map& sessions() const { return sessions_; }
-  // Null if there is none.
+  // Returns null if there is no session with this upstream.
   upstream_session* Find(const upstream_id& id) const;
   void Add(std::unique_ptr<upstream_session> session);
-  // As the upstream registers now.
+  // Replaces what is known of the upstream by its current registration.
   void SetInfo(upstream_session& session, const upstream_info& info);
-  // Those that are no longer registered, once nothing runs there.
+  // Removes upstreams that are no longer registered and on which nothing runs.
   void Forget(const upstream_registry& registered);
   void Clear();
 
-  // What runs on each is known, or can't be running any more.
+  // Returns true if for each upstream it is known what runs there, or nothing
+  // can be running any more.
   bool AllSettled() const;
-  // Not known to be bad.
+  // Returns true unless its runs have shown the upstream to be faulty or slow.
   bool IsGood(const upstream_id& id) const;
-  // Usable and good.
+  // Returns true if the upstream is usable and good.
   bool TakesWork(const upstream_session& session) const;
   upstream_standing& Standing(const upstream_id& id) { return standings_[id]; }
-  // Another incarnation has its own.
+  // Called when an upstream has a new incarnation, which is assessed anew.
   void ForgetStanding(const upstream_id& id) { standings_.erase(id); }
   home_speeds& speeds() { return speeds_; }
   const home_speeds& speeds() const { return speeds_; }
-  // Never falls, and rises if there are other sessions, or an upstream may be
-  // of another class of speeds or have registered anew.
+  // A counter that rises whenever a session is added or removed, an upstream
+  // registers anew, or the speed class of an upstream may have changed.
   uint64_t changes() const { return session_changes_ + speeds_.changes(); }
-  // Of those that take work; a fast one counts as more.
+  // Returns the cores of the upstreams that take work, weighted by their speed.
   double UsableCores() const;
-  // Some upstream has the size and labels for each task of the job that is not
-  // done, by the most room that it ever said to have: what shrinks grows again.
+  // Returns true if for each unfinished task of the job some upstream has the
+  // required labels and capacity. The largest capacity that an upstream has
+  // reported so far counts, since a reduced capacity may grow again.
   bool CouldEverRun(const home_job& job) const;
 
  private:
   session_map sessions_;
-  // Rises whenever one comes, goes or registers.
+  // Rises whenever a session is added or removed or an upstream registers anew.
   uint64_t session_changes_ = 0;
   std::map<upstream_id, upstream_standing> standings_;
-  // Outlives the home's term.
+  // Kept when this instance ceases to be home.
   home_speeds speeds_;
 };
 
--- a/src/runs/run_times.cc
+++ b/src/runs/run_times.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-// Far below its kind: beyond the errors of guesses, and of speeds that are not
-// learnt yet.
-constexpr double kSlow = 3;
-// Shorter delays come from links and busy processes.
-constexpr duration kSlowAtLeast = std::chrono::milliseconds(50);
-// How far below its kind an upstream's speed stretches what counts as sound: a
-// much slower one must not hide its hung runs.
-constexpr double kLeastSpeedOfKind = 0.5;
+// Ratio to the usual time from which on a run is far too slow. It exceeds the
+// errors of estimates and of speeds that have not been learned yet.
+constexpr double kSlowRatio = 3;
+// Shorter delays are ignored, as they are caused by links and busy processes.
+constexpr duration kMinSlowDelay = std::chrono::milliseconds(50);
+// Lower bound of an upstream's speed relative to its kind when run times are
+// expected. Otherwise hung runs of a very slow upstream would not be noticed.
+constexpr double kMinSpeedOfKind = 0.5;
 
 }  // namespace
 
@@ -30,69 +30,70 @@
   const upstream_session* session = upstreams_.Find(task.upstream);
   if (!session)
     return expected;
-  const upstream_info& where = session->info();
+  const upstream_info& ran_on = session->info();
   const home_speeds& speeds = upstreams_.speeds();
   double speed =
-      std::max(speeds.Of(where), speeds.OfKind(where) * kLeastSpeedOfKind);
-  double slowdown = RackSlowdown(where, task) / speed;
+      std::max(speeds.Of(ran_on), speeds.OfKind(ran_on) * kMinSpeedOfKind);
+  double slowdown = RackSlowdown(ran_on, task) / speed;
   return {Times(expected.usual, slowdown), Times(expected.longest, slowdown)};
 }
 
 double run_times::Slowness(const home_job& job,
                            const home_task& task,
-                           const upstream_info& where,
+                           const upstream_info& ran_on,
                            duration took) const {
   duration usual = Expect(job, task).usual;
   if (usual <= duration::zero())
     return 1;
-  double there = ToSeconds(usual) / upstreams_.speeds().OfKind(where) *
-                 RackSlowdown(where, task);
-  return ToSeconds(took) - there > ToSeconds(kSlowAtLeast)
-             ? ToSeconds(took) / there
+  double usual_on_kind = ToSeconds(usual) / upstreams_.speeds().OfKind(ran_on) *
+                         RackSlowdown(ran_on, task);
+  return ToSeconds(took) - usual_on_kind > ToSeconds(kMinSlowDelay)
+             ? ToSeconds(took) / usual_on_kind
              : 1;
 }
 
-// While most upstreams of a kind are slow none stands out, and taking all of
-// them out of use would leave no room at all.
-bool run_times::KindIsSlow(const upstream_info& like) const {
-  std::string kind = KindOf(like);
+// If most upstreams of a kind are slow, none is an outlier, and taking all of
+// them out of use would leave no capacity.
+bool run_times::IsKindSlow(const upstream_info& member) const {
+  std::string kind = KindOf(member);
   int all = 0;
-  int doubted = 0;
+  int suspected = 0;
   for (const auto& [id, session] : upstreams_.sessions()) {
     if (session->idle() || KindOf(session->info()) != kind)
       continue;
     ++all;
-    doubted += upstreams_.Standing(id).doubted() ? 1 : 0;
+    suspected += upstreams_.Standing(id).doubted() ? 1 : 0;
   }
-  return all > 2 && doubted * 2 > all;
+  return all > 2 && suspected * 2 > all;
 }
 
-bool run_times::Judge(const home_job& job,
-                      const home_task& task,
-                      const upstream_info& where,
-                      duration took,
-                      time_point now) {
-  double slowness = Slowness(job, task, where, took);
-  if (slowness < kSlow)
+bool run_times::AssessRun(const home_job& job,
+                          const home_task& task,
+                          const upstream_info& ran_on,
+                          duration took,
+                          time_point now) {
+  double slowness = Slowness(job, task, ran_on, took);
+  if (slowness < kSlowRatio)
     return true;
-  if (KindIsSlow(where))
+  if (IsKindSlow(ran_on))
     return false;
-  // Tasks of one job may all be long, unless others of it were not.
-  task_name shown_by{job.key, 0, {}};
-  bool pace_known = job.PaceWithout(where.id) > 0;
+  // All tasks of a job may be long, so they count as one piece of evidence
+  // unless the job's pace is known from runs on other upstreams.
+  task_name evidence{job.key, 0, {}};
+  bool pace_known = job.PaceWithout(ran_on.id) > 0;
   if (pace_known)
-    shown_by.position = task.demand.position;
-  upstreams_.Standing(where.id).OnSlow(
-      now, shown_by, model_.ShareFrom(job.request.queue, slowness, pace_known));
+    evidence.position = task.demand.position;
+  upstreams_.Standing(ran_on.id).OnSlow(
+      now, evidence, model_.ShareFrom(job.request.queue, slowness, pace_known));
   return false;
 }
 
 void run_times::OnPredictedTime(const home_job& job,
                                 const home_task& task,
-                                duration takes,
+                                duration predicted,
                                 time_point now) {
   if (const upstream_session* session = upstreams_.Find(task.upstream))
-    Judge(job, task, session->info(), takes, now);
+    AssessRun(job, task, session->info(), predicted, now);
 }
 
 void run_times::OnDone(home_job& job,
@@ -103,26 +104,26 @@
   const upstream_session* session = upstreams_.Find(task.upstream);
   if (!session || took <= duration::zero())
     return;
-  const upstream_info& where = session->info();
-  upstream_standing& standing = upstreams_.Standing(where.id);
-  if (Judge(job, task, where, took, now))
+  const upstream_info& ran_on = session->info();
+  upstream_standing& standing = upstreams_.Standing(ran_on.id);
+  if (AssessRun(job, task, ran_on, took, now))
     standing.OnDone();
-  bool off_rack = RackSlowdown(where, task) != 1;
+  bool off_rack = RackSlowdown(ran_on, task) != 1;
   if (off_rack)
     return;
   const queue_id& queue = job.request.queue;
   duration usual = Expect(job, task).usual;
-  duration at_usual_speed = Times(took, upstreams_.speeds().Of(where));
-  upstreams_.speeds().Note(where, usual, took, now);
-  // What a bad upstream does to its runs says nothing about the tasks.
+  duration at_usual_speed = Times(took, upstreams_.speeds().Of(ran_on));
+  upstreams_.speeds().RecordRun(ran_on, usual, took, now);
+  // Runs on a bad upstream say nothing about the length of tasks.
   if (!standing.good())
     return;
-  if (job.PaceWithout(where.id) > 0 && usual > duration::zero())
+  if (job.PaceWithout(ran_on.id) > 0 && usual > duration::zero())
     model_.LearnSibling(queue, ToSeconds(at_usual_speed) / ToSeconds(usual),
                         now);
   duration reference = model_.Reference(queue, task.demand.estimate);
   if (reference > duration::zero())
-    job.NotePace({ToSeconds(at_usual_speed) / ToSeconds(reference), where.id});
+    job.NotePace({ToSeconds(at_usual_speed) / ToSeconds(reference), ran_on.id});
   model_.Learn(queue, task.demand.estimate, at_usual_speed, now);
 }
 
--- a/src/runs/run_times.h
+++ b/src/runs/run_times.h
@@ -1,5 +1,6 @@
-// What a home's runs teach about those to come: how long tasks take, how fast
-// upstreams are, and which of these a surprising run speaks of.
+// Learns from the runs at a home how long tasks take and how fast upstreams
+// are, and decides whether an unusual run is due to its task or to its
+// upstream.
 
 #ifndef SRC_RUNS_RUN_TIMES_H_
 #define SRC_RUNS_RUN_TIMES_H_
@@ -12,48 +13,55 @@
 
 namespace jasminedyke {
 
-// A run's time is its task's length over its upstream's speed. Only the time is
-// seen. A job's pace comes from its tasks that are done, each normalised by the
-// speed of the upstream that it ran on; an upstream's speed from runs of jobs
-// whose pace other upstreams' runs tell. So a slow upstream does not make a job
-// look long, nor a long job an upstream slow.
+// The time of a run is the length of its task divided by the speed of its
+// upstream, and only the time can be measured. A job's pace is learned from its
+// finished tasks, each normalised by the speed of the upstream that ran it. An
+// upstream's speed is learned from runs of jobs whose pace is known from runs
+// on other upstreams. So a slow upstream does not make a job look long, nor a
+// long job an upstream slow.
 class run_times {
  public:
   explicit run_times(home_upstreams& upstreams) : upstreams_(upstreams) {}
 
-  // `task` of `job` ended done, `took` after its order.
+  // Called when `task` of `job` has succeeded, `took` after it was ordered.
   void OnDone(home_job& job,
               const home_task& task,
               duration took,
               time_point now);
-  // Of all tasks that ended, by callers' guesses.
+  // Returns the work of all tasks that have succeeded, by callers' estimates.
   const priority_work& done() const { return done_; }
-  // `task` will take about `takes` in all, by its progress.
+  // Called when the progress of `task` shows that it will take about
+  // `predicted` in total.
   void OnPredictedTime(const home_job& job,
                        const home_task& task,
-                       duration takes,
+                       duration predicted,
                        time_point now);
 
-  // On a sound upstream of usual speed, near the task's data; by what others
-  // than the task's upstream have run.
+  // Returns the run time that is expected on a sound upstream of usual speed
+  // that is near the task's data, without counting runs on the task's own
+  // upstream.
   run_expectation Expect(const home_job& job, const home_task& task) const;
-  // Where it is running.
+  // Returns the run time that is expected on the upstream that runs the task.
   run_expectation ExpectOnUpstream(const home_job& job,
                                    const home_task& task) const;
 
  private:
-  // Its time over what is usual on upstreams of its kind.
+  // Returns the ratio of a run's time to the usual one on upstreams of this
+  // kind, or 1 if the difference is small.
   double Slowness(const home_job& job,
                   const home_task& task,
-                  const upstream_info& where,
+                  const upstream_info& ran_on,
                   duration took) const;
-  // Judges the upstream by it; true if the run was as usual.
-  bool Judge(const home_job& job,
-             const home_task& task,
-             const upstream_info& where,
-             duration took,
-             time_point now);
-  bool KindIsSlow(const upstream_info& like) const;
+  // Counts a far too slow run against its upstream. Returns true if the time of
+  // the run was as usual.
+  bool AssessRun(const home_job& job,
+                 const home_task& task,
+                 const upstream_info& ran_on,
+                 duration took,
+                 time_point now);
+  // Returns true if most upstreams of the kind of `member` are suspected
+  // to be slow.
+  bool IsKindSlow(const upstream_info& member) const;
 
   home_upstreams& upstreams_;
   run_time_model model_;
--- a/tests/answer_times/answer_times_test.cc
+++ b/tests/answer_times/answer_times_test.cc
@@ -1,4 +1,4 @@
-// How patient a home is with upstreams' answers.
+// Tests the timeouts that a home derives from upstreams' response times.
 
 #include <doctest/doctest.h>
 
@@ -10,34 +10,34 @@
 
 using std::chrono::milliseconds;
 
-constexpr duration kLeast = milliseconds(30);
+constexpr duration kMinTimeout = milliseconds(30);
 
 }  // namespace
 
 TEST_CASE("answer_times: all upstreams answer late") {
   // The home's link is full and each answer takes 150 ms. The home must not
-  // take these answers for lost: what it would send instead fills the link
+  // treat these answers as lost, because its retries would load the link
   // further.
   answer_times times;
   for (int i = 0; i < 500; ++i)
     times.Note(milliseconds(3));
-  CHECK(times.Timeout(kLeast) == kLeast);
+  CHECK(times.Timeout(kMinTimeout) == kMinTimeout);
   for (int i = 0; i < 100; ++i)
     times.Note(milliseconds(150));
-  CHECK(times.Timeout(kLeast) >= milliseconds(150));
-  // And back again once the link is free.
+  CHECK(times.Timeout(kMinTimeout) >= milliseconds(150));
+  // The timeout falls again once the link is free.
   for (int i = 0; i < 300; ++i)
     times.Note(milliseconds(3));
-  CHECK(times.Timeout(kLeast) == kLeast);
+  CHECK(times.Timeout(kMinTimeout) == kMinTimeout);
 }
 
 TEST_CASE("answer_times: one upstream in fifty answers late") {
-  // A slow upstream does not make the home wait longer for the others' answers
-  // than a caller of short tasks can lose.
+  // One slow upstream must not raise the timeout for the others beyond the
+  // delay that a caller of short tasks tolerates.
   answer_times times;
   for (int i = 0; i < 2000; ++i)
     times.Note(i % 50 == 0 ? milliseconds(250) : milliseconds(3));
-  CHECK(times.Timeout(kLeast) <= milliseconds(96));
+  CHECK(times.Timeout(kMinTimeout) <= milliseconds(96));
 }
 
 }  // namespace jasminedyke
--- a/tests/home_room/home_room_test.cc
+++ b/tests/home_room/home_room_test.cc
@@ -60,18 +60,19 @@
   f.Enqueue(2, 8);
   f.Enqueue(1, 100, job_chance::kLate);
   f.Update();
-  CHECK(f.room.WaitOf(0) == duration::zero());
-  CHECK(ToSeconds(f.room.WaitOf(1)) == doctest::Approx(0.5));
-  CHECK(ToSeconds(f.room.WaitOf(2)) == doctest::Approx(1.5));
+  CHECK(f.room.ExpectedWait(0) == duration::zero());
+  CHECK(ToSeconds(f.room.ExpectedWait(1)) == doctest::Approx(0.5));
+  CHECK(ToSeconds(f.room.ExpectedWait(2)) == doctest::Approx(1.5));
 }
 
 TEST_CASE("home_room: the wait follows the rate at which work ends") {
   room_fixture f;
   f.Enqueue(1, 4);
   f.Run(seconds(8), 1, 0.4);
-  CHECK(ToSeconds(f.room.WaitOf(1)) == doctest::Approx(1).epsilon(0.02));
+  CHECK(ToSeconds(f.room.ExpectedWait(1)) == doctest::Approx(1).epsilon(0.02));
   f.Run(seconds(8), 1, 0.8);
-  CHECK(ToSeconds(f.room.WaitOf(1)) == doctest::Approx(0.5).epsilon(0.02));
+  CHECK(ToSeconds(f.room.ExpectedWait(1)) ==
+        doctest::Approx(0.5).epsilon(0.02));
 }
 
 TEST_CASE("home_room: only what more urgent jobs leave is room") {
@@ -83,8 +84,8 @@
     f.done.Add(2, 0.2 * f.cores * ToSeconds(kUpdateInterval));
     f.Update();
   }
-  CHECK(f.room.WaitOf(0) == duration::zero());
-  CHECK(ToSeconds(f.room.WaitOf(2)) == doctest::Approx(1).epsilon(0.02));
+  CHECK(f.room.ExpectedWait(0) == duration::zero());
+  CHECK(ToSeconds(f.room.ExpectedWait(2)) == doctest::Approx(1).epsilon(0.02));
 }
 
 // Guards against estimates that still count lost upstreams.
@@ -94,7 +95,7 @@
   f.Run(seconds(4), 1, 0.8);
   f.cores = 5;
   f.Update();
-  CHECK(ToSeconds(f.room.WaitOf(1)) == doctest::Approx(1).epsilon(0.02));
+  CHECK(ToSeconds(f.room.ExpectedWait(1)) == doctest::Approx(1).epsilon(0.02));
 }
 
 // Guards against taking idle time, in which few tasks end, for a low rate.
@@ -103,7 +104,7 @@
   f.Run(seconds(60), 1, 0.01);
   f.Enqueue(1, 4);
   f.Update();
-  CHECK(ToSeconds(f.room.WaitOf(1)) == doctest::Approx(0.5));
+  CHECK(ToSeconds(f.room.ExpectedWait(1)) == doctest::Approx(0.5));
 }
 
 // Guards against an unbounded wait if a job waits for a particular upstream
@@ -112,7 +113,7 @@
   room_fixture f;
   f.Enqueue(1, 4);
   f.Run(seconds(60), 1, 0);
-  CHECK(f.room.WaitOf(1) <= seconds(2));
+  CHECK(f.room.ExpectedWait(1) <= seconds(2));
 }
 
 // Guards against counting the time in which an instance was not home as one in
@@ -122,7 +123,8 @@
   f.Enqueue(1, 4);
   f.Run(seconds(4), 1, 0.8);
   f.Update(seconds(30));
-  CHECK(ToSeconds(f.room.WaitOf(1)) == doctest::Approx(0.5).epsilon(0.02));
+  CHECK(ToSeconds(f.room.ExpectedWait(1)) ==
+        doctest::Approx(0.5).epsilon(0.02));
 }
 
 // Guards against a division by zero cores, and against reserving capacity that
@@ -132,7 +134,7 @@
   f.cores = 0;
   f.Enqueue(1, 4);
   f.Update();
-  CHECK(f.room.WaitOf(1) == seconds(1));
+  CHECK(f.room.ExpectedWait(1) == seconds(1));
   CHECK(f.Refuse(1, 8) == seconds(1));
   CHECK(f.Refuse(1, 8) == seconds(1));
 }
--- a/tests/home_speeds/home_speeds_test.cc
+++ b/tests/home_speeds/home_speeds_test.cc
@@ -1,4 +1,5 @@
-// What a home tells of its upstreams' speeds, and what is believed of it.
+// Tests the speeds that a home learns and sends, and how a receiver applies
+// them.
 
 #include <string>
 #include <vector>
@@ -29,13 +30,14 @@
   upstream_info& Info(int i) {
     return registered.at(upstream_id("u" + std::to_string(i)));
   }
-  // As if the first were slow.
-  void Learn() {
+  // Records runs that take twice as long on the first upstream as on the
+  // others.
+  void RecordRuns() {
     for (int n = 0; n < 40; ++n) {
       for (int i = 0; i < 4; ++i) {
         now += milliseconds(20);
-        speeds.Note(Info(i), milliseconds(100),
-                    milliseconds(i == 0 ? 200 : 100), now);
+        speeds.RecordRun(Info(i), milliseconds(100),
+                         milliseconds(i == 0 ? 200 : 100), now);
       }
     }
   }
@@ -50,7 +52,7 @@
 TEST_CASE("home_speeds: only what changed noticeably is told") {
   speeds_fixture f;
   CHECK(f.speeds.TakeNews(f.now).speeds.empty());
-  f.Learn();
+  f.RecordRuns();
   speed_news news = f.speeds.TakeNews(f.now);
   REQUIRE(!news.speeds.empty());
   CHECK(news.speeds[0].id == f.Info(0).id);
@@ -61,7 +63,7 @@
 
 TEST_CASE("home_speeds: a successor has the speeds that it was told") {
   speeds_fixture f;
-  f.Learn();
+  f.RecordRuns();
   speeds_fixture successor;
   successor.speeds.Take(f.speeds.All(), successor.registered, f.now);
   CHECK(successor.speeds.Of(f.Info(0)) ==
@@ -86,35 +88,36 @@
 }
 
 TEST_CASE("home_speeds: an upstream is reborn under its id") {
-  // The new one may be another machine: the old one's slowness says nothing.
+  // The new incarnation may run on another machine, so the speed of the old one
+  // must not be applied to it.
   speeds_fixture f;
-  f.Learn();
+  f.RecordRuns();
   upstream_info old = f.Info(0);
   f.Info(0).birth = upstream_birth(2);
   f.speeds.Keep(f.registered);
   CHECK(f.speeds.Of(f.Info(0)) > 0.75);
   SUBCASE("a late end of the old one's runs says nothing either") {
     for (int n = 0; n < 20; ++n)
-      f.speeds.Note(old, milliseconds(100), milliseconds(200), f.now);
+      f.speeds.RecordRun(old, milliseconds(100), milliseconds(200), f.now);
     CHECK(f.speeds.Of(f.Info(0)) > 0.75);
   }
 }
 
 TEST_CASE("home_speeds: an upstream is gone") {
   speeds_fixture f;
-  f.Learn();
+  f.RecordRuns();
   f.registered.erase(upstream_id("u0"));
   f.speeds.Keep(f.registered);
   CHECK(f.speeds.ByKind().at("parts").upstreams == 3);
 }
 
-// Guards against upstreams that are placed by a class that they had once.
+// Guards against placing tasks by an outdated speed class.
 TEST_CASE("home_speeds: no class of speed changes unseen") {
   speeds_fixture f;
-  upstream_info like = f.Info(0);
-  like.id = upstream_id("not registered");
+  upstream_info unregistered = f.Info(0);
+  unregistered.id = upstream_id("not registered");
   auto classes = [&] {
-    std::vector<int> all{f.speeds.ClassOf(like)};
+    std::vector<int> all{f.speeds.ClassOf(unregistered)};
     for (int i = 0; i < 4; ++i) {
       CHECK(f.speeds.ClassOf(f.Info(i)) == SpeedClass(f.speeds.Of(f.Info(i))));
       all.push_back(f.speeds.ClassOf(f.Info(i)));
@@ -124,7 +127,7 @@
   std::vector<int> before = classes();
   uint64_t seen = f.speeds.changes();
   int changed = 0;
-  auto look = [&] {
+  auto check_counter = [&] {
     std::vector<int> now = classes();
     if (now != before) {
       ++changed;
@@ -135,20 +138,20 @@
   };
   for (int n = 0; n < 160; ++n) {
     f.now += milliseconds(20);
-    f.speeds.Note(f.Info(n % 4), milliseconds(100),
-                  milliseconds(n % 4 == 0 ? 200 : 100), f.now);
-    look();
+    f.speeds.RecordRun(f.Info(n % 4), milliseconds(100),
+                       milliseconds(n % 4 == 0 ? 200 : 100), f.now);
+    check_counter();
   }
-  int by_notes = changed;
-  CHECK(by_notes > 0);
+  int changed_by_runs = changed;
+  CHECK(changed_by_runs > 0);
   f.Info(0).birth = upstream_birth(2);
   f.speeds.Keep(f.registered);
-  look();
-  CHECK(changed == by_notes + 1);
+  check_counter();
+  CHECK(changed == changed_by_runs + 1);
   f.speeds.Take({{{f.Info(0).id, upstream_birth(2), 0.4}}}, f.registered,
                 f.now);
-  look();
-  CHECK(changed == by_notes + 2);
+  check_counter();
+  CHECK(changed == changed_by_runs + 2);
 }
 
 }  // namespace jasminedyke
