--- a/src/runs/home_upstreams.cc
+++ b/src/runs/home_upstreams.cc
@@ -24,7 +24,7 @@
   ++session_changes_;
 }
 
-void home_upstreams::Forget(const upstream_registry& registered) {
+void home_upstreams::ForgetUnregistered(const upstream_registry& registered) {
   session_changes_ += std::erase_if(sessions_, [&](const auto& entry) {
     return entry.second->idle() && !registered.contains(entry.first);
   });
--- a/src/runs/home_upstreams.h
+++ b/src/runs/home_upstreams.h
@@ -28,7 +28,7 @@
   // Replaces what is known of the upstream by its current registration.
   void SetInfo(upstream_session& session, const upstream_info& info);
   // Removes upstreams that are no longer registered and on which nothing runs.
-  void Forget(const upstream_registry& registered);
+  void ForgetUnregistered(const upstream_registry& registered);
   void Clear();
 
   // Returns true if for each upstream it is known what runs there, or nothing
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -638,7 +638,7 @@
   }
   std::erase_if(orphaned_at_,
                 [&](const auto& entry) { return now >= entry.second; });
-  upstreams_.Forget(registry_);
+  upstreams_.ForgetUnregistered(registry_);
   crashes_.Forget(now);
   RefuseHopeless();
   stuck_runs_.Check(jobs_, [this] { return WaitForRoom(); });
