--- a/src/runs/home_speeds.cc
+++ b/src/runs/home_speeds.cc
@@ -108,7 +108,7 @@
   return known ? known->speed_class : SpeedClass(OfKind(info));
 }
 
-void home_speeds::Keep(const upstream_registry& registered) {
+void home_speeds::SetRegistered(const upstream_registry& registered) {
   std::erase_if(known_, [&](const auto& entry) {
     auto found = registered.find(entry.first);
     bool gone =
--- a/src/runs/home_speeds.h
+++ b/src/runs/home_speeds.h
@@ -64,7 +64,7 @@
 
   // Adds the registered upstreams and forgets those that are no longer
   // registered or have another incarnation.
-  void Keep(const upstream_registry& registered);
+  void SetRegistered(const upstream_registry& registered);
 
   // Returns the speeds that have changed noticeably since they were last sent,
   // and logs upstreams that have become slow, fast or usual.
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -84,7 +84,7 @@
 void run_home::SetUpstreams(const upstream_registry& upstreams,
                             bool confirmed) {
   registry_ = upstreams;
-  upstreams_.speeds().Keep(upstreams);
+  upstreams_.speeds().SetRegistered(upstreams);
   if (!serving_)
     return;
   // Registrations that lapsed during an outage are missing at first; only who
--- a/tests/home_speeds/home_speeds_test.cc
+++ b/tests/home_speeds/home_speeds_test.cc
@@ -24,7 +24,7 @@
       info.birth = upstream_birth(1);
       registered[info.id] = info;
     }
-    speeds.Keep(registered);
+    speeds.SetRegistered(registered);
   }
 
   upstream_info& Info(int i) {
@@ -81,7 +81,7 @@
 TEST_CASE("home_speeds: news of an earlier incarnation") {
   speeds_fixture f;
   f.Info(0).birth = upstream_birth(2);
-  f.speeds.Keep(f.registered);
+  f.speeds.SetRegistered(f.registered);
   f.speeds.Take({{{f.Info(0).id, upstream_birth(1), 0.5}}}, f.registered,
                 f.now);
   CHECK(f.speeds.Of(f.Info(0)) == 1);
@@ -94,7 +94,7 @@
   f.RecordRuns();
   upstream_info old = f.Info(0);
   f.Info(0).birth = upstream_birth(2);
-  f.speeds.Keep(f.registered);
+  f.speeds.SetRegistered(f.registered);
   CHECK(f.speeds.Of(f.Info(0)) > 0.75);
   SUBCASE("a late end of the old one's runs says nothing either") {
     for (int n = 0; n < 20; ++n)
@@ -107,7 +107,7 @@
   speeds_fixture f;
   f.RecordRuns();
   f.registered.erase(upstream_id("u0"));
-  f.speeds.Keep(f.registered);
+  f.speeds.SetRegistered(f.registered);
   CHECK(f.speeds.ByKind().at("parts").upstreams == 3);
 }
 
@@ -145,7 +145,7 @@
   int changed_by_runs = changed;
   CHECK(changed_by_runs > 0);
   f.Info(0).birth = upstream_birth(2);
-  f.speeds.Keep(f.registered);
+  f.speeds.SetRegistered(f.registered);
   check_counter();
   CHECK(changed == changed_by_runs + 1);
   f.speeds.Take({{{f.Info(0).id, upstream_birth(2), 0.4}}}, f.registered,
