--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -243,7 +243,7 @@
   bool replaced = home && home->instance != from;
   if (replaced || home_->serving() || !IsOfOwnDomain(from))
     return;
-  home_->speeds().Take(news, upstreams_, clock_.now());
+  home_->speeds().Apply(news, upstreams_, clock_.now());
 }
 
 bool run_cluster::IsHome(const instance_id& id) const {
--- a/src/runs/home_speeds.cc
+++ b/src/runs/home_speeds.cc
@@ -153,9 +153,9 @@
   return news;
 }
 
-void home_speeds::Take(const speed_news& news,
-                       const upstream_registry& registered,
-                       time_point now) {
+void home_speeds::Apply(const speed_news& news,
+                        const upstream_registry& registered,
+                        time_point now) {
   for (const upstream_speed& each : news.speeds) {
     auto found = registered.find(each.id);
     if (found == registered.end() || found->second.birth != each.birth)
--- a/src/runs/home_speeds.h
+++ b/src/runs/home_speeds.h
@@ -73,9 +73,9 @@
   speed_news All() const;
   // Applies speeds received from the home. Upstreams that are not in
   // `registered` and other incarnations are ignored.
-  void Take(const speed_news& news,
-            const upstream_registry& registered,
-            time_point now);
+  void Apply(const speed_news& news,
+             const upstream_registry& registered,
+             time_point now);
 
   // Returns statistics by kind, see `KindOf`.
   std::map<std::string, kind_speed> ByKind() const;
--- a/tests/home_speeds/home_speeds_test.cc
+++ b/tests/home_speeds/home_speeds_test.cc
@@ -65,15 +65,15 @@
   speeds_fixture f;
   f.RecordRuns();
   speeds_fixture successor;
-  successor.speeds.Take(f.speeds.All(), successor.registered, f.now);
+  successor.speeds.Apply(f.speeds.All(), successor.registered, f.now);
   CHECK(successor.speeds.Of(f.Info(0)) ==
         doctest::Approx(f.speeds.Of(f.Info(0))).epsilon(0.1));
 }
 
 TEST_CASE("home_speeds: news for an upstream that is not known") {
   speeds_fixture f;
-  f.speeds.Take({{{upstream_id("gone"), upstream_birth(1), 0.5}}}, f.registered,
-                f.now);
+  f.speeds.Apply({{{upstream_id("gone"), upstream_birth(1), 0.5}}},
+                 f.registered, f.now);
   CHECK(f.speeds.All().speeds.empty());
   CHECK(f.speeds.ByKind().at("parts").upstreams == 4);
 }
@@ -82,8 +82,8 @@
   speeds_fixture f;
   f.Info(0).birth = upstream_birth(2);
   f.speeds.SetRegistered(f.registered);
-  f.speeds.Take({{{f.Info(0).id, upstream_birth(1), 0.5}}}, f.registered,
-                f.now);
+  f.speeds.Apply({{{f.Info(0).id, upstream_birth(1), 0.5}}}, f.registered,
+                 f.now);
   CHECK(f.speeds.Of(f.Info(0)) == 1);
 }
 
@@ -148,8 +148,8 @@
   f.speeds.SetRegistered(f.registered);
   check_counter();
   CHECK(changed == changed_by_runs + 1);
-  f.speeds.Take({{{f.Info(0).id, upstream_birth(2), 0.4}}}, f.registered,
-                f.now);
+  f.speeds.Apply({{{f.Info(0).id, upstream_birth(2), 0.4}}}, f.registered,
+                 f.now);
   check_counter();
   CHECK(changed == changed_by_runs + 2);
 }
