--- a/src/runs/byte_rate.cc
+++ b/src/runs/byte_rate.cc
@@ -5,7 +5,7 @@
 
 namespace jasminedyke {
 
-void byte_rate::Note(time_point now, uint64_t bytes) {
+void byte_rate::Add(time_point now, uint64_t bytes) {
   double mean_age = ToSeconds(kHalfLife) / std::numbers::ln2;
   sum_ = PerSecond(now) * mean_age + static_cast<double>(bytes);
   updated_ = now;
--- a/src/runs/byte_rate.h
+++ b/src/runs/byte_rate.h
@@ -14,7 +14,7 @@
  public:
   static constexpr duration kHalfLife = std::chrono::milliseconds(500);
 
-  void Note(time_point now, uint64_t bytes);
+  void Add(time_point now, uint64_t bytes);
   double PerSecond(time_point now) const;
 
  private:
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -581,8 +581,8 @@
   std::optional<start_delegate> delegate;
   if (job.request.kept_spec_bytes)
     delegate = start_delegate{job.owner, job.request.submission};
-  spec_rate_.Note(clock_.now(), job.request.kept_spec_bytes.value_or(
-                                    job.request.spec.size()));
+  spec_rate_.Add(clock_.now(),
+                 job.request.kept_spec_bytes.value_or(job.request.spec.size()));
   session.Start({job.key, 0, task.demand.position}, run_number(task.last_run),
                 job.request.spec, need, delegate);
 }
