--- a/src/runs/answer_times.cc
+++ b/src/runs/answer_times.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void answer_times::Note(duration took) {
+void answer_times::Add(duration took) {
   duration deviation = took > mean_ ? took - mean_ : mean_ - took;
   deviation_ += (deviation - deviation_) / kAveragingDivisor;
   mean_ += (took - mean_) / kAveragingDivisor;
--- a/src/runs/answer_times.h
+++ b/src/runs/answer_times.h
@@ -19,7 +19,7 @@
 class answer_times {
  public:
   // Adds the duration of a call that upstreams answer at once.
-  void Note(duration took);
+  void Add(duration took);
 
   // Returns the time after which an answer is likely lost: at least `minimum`,
   // up to a fixed limit.
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -178,7 +178,7 @@
                                  const start_reply& reply) {
   if (reply.clock) {
     life_->clock.Take(*reply.clock, sent);
-    times_.Note(clock_.now() - sent);
+    times_.Add(clock_.now() - sent);
     life_->in_doubt = false;
   }
   run_record* found = life_->runs.Find(task);
@@ -413,7 +413,7 @@
     OnLookFailed(sent);
     return;
   }
-  times_.Note(clock_.now() - sent);
+  times_.Add(clock_.now() - sent);
   answer_of whose = WhoseAnswer(sent, reply);
   if (whose == answer_of::kPresent)
     TakeHold(sent, reply);
--- a/tests/answer_times/answer_times_test.cc
+++ b/tests/answer_times/answer_times_test.cc
@@ -20,14 +20,14 @@
   // further.
   answer_times times;
   for (int i = 0; i < 500; ++i)
-    times.Note(milliseconds(3));
+    times.Add(milliseconds(3));
   CHECK(times.Timeout(kMinTimeout) == kMinTimeout);
   for (int i = 0; i < 100; ++i)
-    times.Note(milliseconds(150));
+    times.Add(milliseconds(150));
   CHECK(times.Timeout(kMinTimeout) >= milliseconds(150));
   // The timeout falls again once the link is free.
   for (int i = 0; i < 300; ++i)
-    times.Note(milliseconds(3));
+    times.Add(milliseconds(3));
   CHECK(times.Timeout(kMinTimeout) == kMinTimeout);
 }
 
@@ -36,7 +36,7 @@
   // delay that a caller of short tasks tolerates.
   answer_times times;
   for (int i = 0; i < 2000; ++i)
-    times.Note(i % 50 == 0 ? milliseconds(250) : milliseconds(3));
+    times.Add(i % 50 == 0 ? milliseconds(250) : milliseconds(3));
   CHECK(times.Timeout(kMinTimeout) <= milliseconds(96));
 }
 
