--- a/src/runs/job_desk.cc
+++ b/src/runs/job_desk.cc
@@ -344,8 +344,8 @@
   if (found == jobs_.end())
     return;
   LogAnswer(found->second, answer);
-  NoteLatency(metrics_.answer_time, found->second.asked.queue,
-              clock_.now() - found->second.accepted, clock_.now());
+  RecordLatency(metrics_.answer_time, found->second.asked.queue,
+                clock_.now() - found->second.accepted, clock_.now());
   answer_callback done = std::move(found->second.done);
   jobs_.erase(found);
   ++metrics_.outcomes[answer.outcome];
--- a/src/runs/queue_latency.cc
+++ b/src/runs/queue_latency.cc
@@ -10,10 +10,10 @@
 
 }  // namespace
 
-void NoteLatency(latency_by_queue& latencies,
-                 const queue_id& queue,
-                 duration latency,
-                 time_point now) {
+void RecordLatency(latency_by_queue& latencies,
+                   const queue_id& queue,
+                   duration latency,
+                   time_point now) {
   auto found = latencies.find(queue);
   if (found == latencies.end()) {
     bool full = latencies.size() >= kMaxSeparateQueues;
--- a/src/runs/queue_latency.h
+++ b/src/runs/queue_latency.h
@@ -15,10 +15,10 @@
 // Records a latency of the queue. Queues beyond the first few dozen share the
 // entry "other", which bounds memory and the size of the metrics page when
 // thousands of queues are configured.
-void NoteLatency(latency_by_queue& latencies,
-                 const queue_id& queue,
-                 duration latency,
-                 time_point now);
+void RecordLatency(latency_by_queue& latencies,
+                   const queue_id& queue,
+                   duration latency,
+                   time_point now);
 
 }  // namespace jasminedyke
 
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -307,7 +307,7 @@
   if (how != run_end::kDone || task.adopted)
     return;
   duration took = now - task.ordered_at;
-  NoteLatency(metrics_.run_time, job.request.queue, took, now);
+  RecordLatency(metrics_.run_time, job.request.queue, took, now);
   run_times_.OnDone(job, task, took, now);
 }
 
@@ -574,8 +574,8 @@
   if (task.last_run == 0)
     task.first_ordered_at = task.ordered_at;
   task.adopted = false;
-  NoteLatency(metrics_.room_wait, job.request.queue,
-              task.ordered_at - task.queued_at, task.ordered_at);
+  RecordLatency(metrics_.room_wait, job.request.queue,
+                task.ordered_at - task.queued_at, task.ordered_at);
   ++task.last_run;
   ++metrics_.started;
   std::optional<start_delegate> delegate;
