--- a/src/runs/home_directory.cc
+++ b/src/runs/home_directory.cc
@@ -71,7 +71,8 @@
   return found == homes_.end() ? nullptr : &found->second;
 }
 
-void home_directory::NoteSent(const home_group& group, int64_t cpu_millis) {
+void home_directory::DeductSentWork(const home_group& group,
+                                    int64_t cpu_millis) {
   auto found = homes_.find(group);
   if (found != homes_.end())
     found->second.status.free_cpu_millis -= cpu_millis;
--- a/src/runs/home_directory.h
+++ b/src/runs/home_directory.h
@@ -53,7 +53,7 @@
 
   // Deducts work that was sent to the home from its free capacity, until its
   // next status arrives.
-  void NoteSent(const home_group& group, int64_t cpu_millis);
+  void DeductSentWork(const home_group& group, int64_t cpu_millis);
 
   // Returns true if a home with this status probably has free capacity for a
   // job that needs `cpu_millis`.
--- a/src/runs/job_desk.cc
+++ b/src/runs/job_desk.cc
@@ -123,7 +123,7 @@
           return !job.passed_by.contains(other.status.group) &&
                  home_directory::HasPlaces(other.status, need);
         });
-    homes_.NoteSent(job.group, need);
+    homes_.DeductSentWork(job.group, need);
     SendTasks(job, false);
     return;
   }
