--- a/src/runs/home_directory.cc
+++ b/src/runs/home_directory.cc
@@ -36,7 +36,8 @@
 
 }  // namespace
 
-bool home_directory::HasPlaces(const home_status& status, int64_t cpu_millis) {
+bool home_directory::HasFreeCapacity(const home_status& status,
+                                     int64_t cpu_millis) {
   return UsableMillis(status) >= static_cast<double>(cpu_millis);
 }
 
--- a/src/runs/home_directory.h
+++ b/src/runs/home_directory.h
@@ -57,7 +57,7 @@
 
   // Returns true if a home with this status probably has free capacity for a
   // job that needs `cpu_millis`.
-  static bool HasPlaces(const home_status& status, int64_t cpu_millis);
+  static bool HasFreeCapacity(const home_status& status, int64_t cpu_millis);
 
   // Returns the highest token received for a group, or 0 if there is none.
   fencing_token HighestToken(const home_group& group) const;
--- a/src/runs/job_desk.cc
+++ b/src/runs/job_desk.cc
@@ -121,7 +121,7 @@
         job.asked.steps.size() == 1 &&
         std::any_of(homes.begin() + 1, homes.end(), [&](const auto& other) {
           return !job.passed_by.contains(other.status.group) &&
-                 home_directory::HasPlaces(other.status, need);
+                 home_directory::HasFreeCapacity(other.status, need);
         });
     homes_.DeductSentWork(job.group, need);
     SendTasks(job, false);
@@ -358,7 +358,7 @@
   int64_t need = ReadyCpuMillis(job);
   return std::ranges::any_of(
       homes_.Ranked(domain_, need), [need](const known_home& home) {
-        return home_directory::HasPlaces(home.status, need);
+        return home_directory::HasFreeCapacity(home.status, need);
       });
 }
 
