--- a/src/cluster/home_election.cc
+++ b/src/cluster/home_election.cc
@@ -254,7 +254,7 @@
 
 void home_election::Watch() {
   const known_home* home = homes_.Find(group_);
-  bool alive = home && clock_.now() - home->heard < kStatusExpiry &&
+  bool alive = home && clock_.now() - home->received_at < kStatusExpiry &&
                !leaving_peers_.contains(home->instance) &&
                !(home->status.yielding && IsMuchStrongerThan(home->instance));
   if (alive || leaving_) {
--- a/src/runs/home_directory.cc
+++ b/src/runs/home_directory.cc
@@ -93,7 +93,7 @@
     duration cost = home.status.wait + WaitForCapacity(home.status, cpu_millis);
     if (group.domain != own)
       cost += kOtherDomainPenalty;
-    bool outdated = clock_.now() - home.heard > kOutdatedAfter;
+    bool outdated = clock_.now() - home.received_at > kOutdatedAfter;
     candidates.push_back({outdated, cost, &home});
   }
   std::ranges::stable_sort(candidates, {}, [](const candidate& option) {
--- a/src/runs/home_directory.h
+++ b/src/runs/home_directory.h
@@ -17,7 +17,7 @@
 struct known_home {
   instance_id instance;
   home_status status;
-  time_point heard;
+  time_point received_at;
 };
 
 // Keeps the latest status of each group's home. If two instances claim a group,
--- a/src/runs/job_desk.cc
+++ b/src/runs/job_desk.cc
@@ -366,7 +366,7 @@
 // id with what went wrong there.
 void job_desk::LogAnswer(const open_job& job, const run_answer& answer) const {
   const known_home* home = homes_.Find(job.group);
-  duration age = home ? clock_.now() - home->heard : duration::zero();
+  duration age = home ? clock_.now() - home->received_at : duration::zero();
   bool served = answer.outcome == run_outcome::kSucceeded;
   LogEvent(log_level::kInfo, "job_answered",
            {{"job", job.asked.key.str()},
