--- a/src/runs/admission_estimate.cc
+++ b/src/runs/admission_estimate.cc
@@ -12,11 +12,11 @@
   return FromSeconds(load.work_ahead / (load.cores * room_rate::kUsableShare));
 }
 
-bool IsHopeless(const scheduling_criteria& outlook,
+bool IsHopeless(const scheduling_criteria& criteria,
                 duration wait,
                 time_point now) {
-  time_point ends = now + wait + outlook.longest_task;
-  return ends > std::min(outlook.useful_until, outlook.limit);
+  time_point end = now + wait + criteria.longest_task;
+  return end > std::min(criteria.useful_until, criteria.limit);
 }
 
 }  // namespace jasminedyke
--- a/src/runs/home_upstreams.cc
+++ b/src/runs/home_upstreams.cc
@@ -24,7 +24,7 @@
   ++session_changes_;
 }
 
-void home_upstreams::Forget(const upstream_registry& registered) {
+void home_upstreams::ForgetUnregistered(const upstream_registry& registered) {
   session_changes_ += std::erase_if(sessions_, [&](const auto& entry) {
     return entry.second->idle() && !registered.contains(entry.first);
   });
@@ -67,9 +67,9 @@
   return std::ranges::all_of(job.tasks, [&](const auto& entry) {
     const home_task& task = entry.second;
     return task.phase == task_phase::kDone ||
-           std::ranges::any_of(sessions_, [&](const auto& each) {
-             return MayRun(*each.second, job, task) &&
-                    task.demand.need.Fits(each.second->largest_capacity());
+           std::ranges::any_of(sessions_, [&](const auto& candidate) {
+             return MayRun(*candidate.second, job, task) &&
+                    task.demand.need.Fits(candidate.second->largest_capacity());
            });
   });
 }
--- a/src/runs/job_owner.cc
+++ b/src/runs/job_owner.cc
@@ -123,9 +123,9 @@
         job.submitted.steps.size() == 1 &&
         std::any_of(homes.begin() + 1, homes.end(), [&](const auto& other) {
           return !job.passed_by.contains(other.status.group) &&
-                 home_directory::HasPlaces(other.status, need);
+                 home_directory::HasFreeCapacity(other.status, need);
         });
-    homes_.NoteSent(job.group, need);
+    homes_.DeductSentWork(job.group, need);
     SendTasks(job, false);
     return;
   }
@@ -351,8 +351,8 @@
   if (found == jobs_.end())
     return;
   LogAnswer(found->second, answer);
-  NoteLatency(metrics_.answer_time, found->second.submitted.queue,
-              clock_.now() - found->second.accepted, clock_.now());
+  RecordLatency(metrics_.answer_time, found->second.submitted.queue,
+                clock_.now() - found->second.accepted, clock_.now());
   answer_callback done = std::move(found->second.done);
   jobs_.erase(found);
   ++metrics_.outcomes[answer.outcome];
@@ -365,7 +365,7 @@
   int64_t need = ReadyCpuMillis(job);
   return std::ranges::any_of(
       homes_.Ranked(domain_, need), [need](const known_home& home) {
-        return home_directory::HasPlaces(home.status, need);
+        return home_directory::HasFreeCapacity(home.status, need);
       });
 }
 
@@ -373,7 +373,7 @@
 // job's id what went wrong there.
 void job_owner::LogAnswer(const open_job& job, const run_answer& answer) const {
   const known_home* home = homes_.Find(job.group);
-  duration age = home ? clock_.now() - home->heard : duration::zero();
+  duration age = home ? clock_.now() - home->received_at : duration::zero();
   bool served = answer.outcome == run_outcome::kSucceeded;
   LogEvent(log_level::kInfo, "job_answered",
            {{"job", job.submitted.key.str()},
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -90,7 +90,7 @@
 void run_home::SetUpstreams(const upstream_registry& upstreams,
                             bool confirmed) {
   registry_ = upstreams;
-  upstreams_.speeds().Keep(upstreams);
+  upstreams_.speeds().SetRegistered(upstreams);
   if (!serving_)
     return;
   // After an outage the store's list lacks the registrations that lapsed
@@ -314,7 +314,7 @@
   if (how != run_end::kDone || task.adopted)
     return;
   duration took = now - task.ordered_at;
-  NoteLatency(metrics_.run_time, job.request.queue, took, now);
+  RecordLatency(metrics_.run_time, job.request.queue, took, now);
   run_times_.OnDone(job, task, took, now);
 }
 
@@ -498,7 +498,7 @@
     home_job& job = *waiting.job;
     start_decision decision = gate_.Decide(!job.HasNotStarted(), clock_.now());
     if (decision == start_decision::kReturnToOwner)
-      ReturnToOwner(job, run_refusal::kDrained, kLeastRetryAfter);
+      ReturnToOwner(job, run_refusal::kDrained, kMinRetryAfter);
     if (decision != start_decision::kStart || !CanSendStarts(job))
       continue;
     if (const home_task* held = HeldTask(job)) {
@@ -510,7 +510,7 @@
       PassToOtherGroup(job);
     else if (job.HasRejectedTask(kMaxRejections) ||
              (!PlaceTasks(job) && job.HasRejectedTask(1)))
-      ReturnToOwner(job, run_refusal::kNotAccepted, kLeastRetryAfter);
+      ReturnToOwner(job, run_refusal::kNotAccepted, kMinRetryAfter);
   }
   EraseFinishedCancelled();
 }
@@ -528,7 +528,7 @@
 void run_home::ReturnToOwner(home_job& job,
                              run_refusal reason,
                              duration retry_after) {
-  Refuse(job, reason, std::max(retry_after, kLeastRetryAfter));
+  Refuse(job, reason, std::max(retry_after, kMinRetryAfter));
   CancelJob(job);
 }
 
@@ -587,15 +587,15 @@
   if (task.last_run == 0)
     task.first_ordered_at = task.ordered_at;
   task.adopted = false;
-  NoteLatency(metrics_.room_wait, job.request.queue,
-              task.ordered_at - task.queued_at, task.ordered_at);
+  RecordLatency(metrics_.room_wait, job.request.queue,
+                task.ordered_at - task.queued_at, task.ordered_at);
   ++task.last_run;
   ++metrics_.started;
   std::optional<start_delegate> delegate;
   if (job.request.kept_spec_bytes)
     delegate = start_delegate{job.owner, job.request.submission};
-  spec_rate_.Note(clock_.now(), job.request.kept_spec_bytes.value_or(
-                                    job.request.spec.size()));
+  spec_rate_.Add(clock_.now(),
+                 job.request.kept_spec_bytes.value_or(job.request.spec.size()));
   session.Start({job.key, 0, task.demand.position}, run_number(task.last_run),
                 job.request.spec, need, delegate);
 }
@@ -652,7 +652,7 @@
   }
   std::erase_if(orphaned_until_,
                 [&](const auto& entry) { return now >= entry.second; });
-  upstreams_.Forget(registry_);
+  upstreams_.ForgetUnregistered(registry_);
   crashes_.Forget(now);
   RefuseLateJobs();
   stuck_runs_.Check(jobs_, [this] { return EstimateRoomWait(); });
@@ -669,7 +669,7 @@
   load.cores = upstreams_.UsableCores();
   duration delay = answer_times_.Delay();
   std::vector<waiting_job> waiting = RankWaitingJobs();
-  room_.Look(clock_.now(), {waiting, run_times_.done(), load.cores});
+  room_.Update(clock_.now(), {waiting, run_times_.done(), load.cores});
   for (waiting_job& each : waiting) {
     home_job& job = *each.job;
     bool too_late =
@@ -682,7 +682,7 @@
     if (upstreams_.CouldEverRun(job))
       Refuse(job, run_refusal::kOverload, room_.RetryAfter(clock_.now(), each));
     else
-      Refuse(job, run_refusal::kNoUpstream, kLeastRetryAfter);
+      Refuse(job, run_refusal::kNoUpstream, kMinRetryAfter);
     CancelJob(job);
   }
   EraseFinishedCancelled();
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -147,8 +147,8 @@
   run_sight sight;
   // Both the start and the word of the end may have taken so long on their way.
   sight.took =
-      clock_.now() - task.ordered_at - answers_.Patience(duration::zero());
-  sight.expected = times_.ExpectThere(job, task);
+      clock_.now() - task.ordered_at - answers_.Timeout(duration::zero());
+  sight.expected = times_.ExpectOnUpstream(job, task);
   sight.expected.longest = Times(
       sight.expected.longest,
       std::pow(kAllowedAgain, std::min(task.overlong_stops, kMostAllowances)));
@@ -156,7 +156,7 @@
   sight.adopted = task.adopted;
   sight.asked =
       task.progress_asked_at > task.ordered_at &&
-      clock_.now() - task.progress_asked_at >= answers_.Patience(kAnswerTime);
+      clock_.now() - task.progress_asked_at >= answers_.Timeout(kAnswerTime);
   auto progress = session.Progress({job.key, 0, task.demand.position});
   // An adopted run may have been listed before it was claimed.
   if (progress && progress->listed > task.ordered_at) {
@@ -178,7 +178,7 @@
                              duration takes,
                              const std::function<duration()>& room_wait) {
   time_point now = clock_.now();
-  times_.OnForetold(job, task, takes, now);
+  times_.OnPredictedTime(job, task, takes, now);
   if (!upstreams_.Standing(task.upstream).slow())
     return;
   time_point ends = task.ordered_at + takes;
