--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -7,53 +7,58 @@
 
 namespace {
 
-// Nothing is suspected before: messages and sweeps take as long.
-constexpr duration kNeverBefore = std::chrono::milliseconds(30);
-// Beyond what is usual by so much, a run's upstream is asked how far it is.
-constexpr double kUnclearFrom = 1.5;
-// A task of which nothing is known.
-constexpr duration kUnclearUnknown = std::chrono::seconds(1);
-// An upstream that is asked answers at once.
+// Age at which a run is first checked: messages and sweeps take as long.
+constexpr duration kMinCheckedAge = std::chrono::milliseconds(30);
+// A run is overdue beyond this multiple of its usual time; its upstream is then
+// asked for progress.
+constexpr double kOverdueFactor = 1.5;
+// Time after which a run without an expected run time is overdue.
+constexpr duration kOverdueUnknown = std::chrono::seconds(1);
+// An upstream answers a request for progress at once.
 constexpr duration kAnswerTime = std::chrono::milliseconds(30);
-// What was listed so long ago, though asked for again and again, says nothing.
-constexpr duration kOldList = std::chrono::milliseconds(250);
-// Beyond the longest expectation a run must be late by so much besides.
-constexpr duration kStuckAtLeast = std::chrono::milliseconds(60);
-// Of the longest that a sound run takes: in so much of it the longest one makes
-// several per cent, and even one on an upstream that crawls makes one.
-constexpr double kStillShare = 0.1;
-constexpr duration kLeastStill = std::chrono::milliseconds(40);
-constexpr duration kStillUnknown = std::chrono::seconds(1);
-// A task that was too long elsewhere is long itself, more likely than not.
-constexpr double kAllowedAgain = 3;
-constexpr int kMostAllowances = 4;
-constexpr int kAllPercent = 100;
-
-duration StillPatience(const run_sight& sight) {
-  if (sight.expected.longest <= duration::zero())
-    return kStillUnknown;
-  return std::max(kLeastStill, Times(sight.expected.longest, kStillShare));
+// A listing of this age proves nothing, since progress is asked for repeatedly.
+constexpr duration kMaxListingAge = std::chrono::milliseconds(250);
+// A run is stuck only if it exceeds its usual time by this much, besides
+// exceeding the longest expected time.
+constexpr duration kMinStuckExcess = std::chrono::milliseconds(60);
+// Time without progress after which a run is stalled, as a share of the longest
+// time that a healthy run takes: in that time the longest healthy run advances
+// by several per cent, and even one on a very slow upstream by one per cent.
+constexpr double kStallShare = 0.1;
+constexpr duration kMinStallTime = std::chrono::milliseconds(40);
+constexpr duration kStallTimeUnknown = std::chrono::seconds(1);
+// Multiplies the longest expected time each time the task was stopped for its
+// length: a task that took too long on another upstream is probably long
+// itself.
+constexpr double kRestartAllowance = 3;
+constexpr int kMaxRestartAllowances = 4;
+constexpr int kCompletePercent = 100;
+
+duration StallTime(const run_observation& run) {
+  if (run.expected.longest <= duration::zero())
+    return kStallTimeUnknown;
+  return std::max(kMinStallTime, Times(run.expected.longest, kStallShare));
 }
 
-bool IsUnclear(const run_sight& sight) {
-  duration usual = sight.expected.usual;
-  return sight.took > (usual > duration::zero() ? Times(usual, kUnclearFrom)
-                                                : kUnclearUnknown);
+bool IsOverdue(const run_observation& run) {
+  duration usual = run.expected.usual;
+  return run.elapsed > (usual > duration::zero() ? Times(usual, kOverdueFactor)
+                                                 : kOverdueUnknown);
 }
 
-run_judgement JudgeByLength(const run_sight& sight) {
-  const run_expectation& expected = sight.expected;
+run_judgement JudgeByElapsedTime(const run_observation& run) {
+  const run_expectation& expected = run.expected;
   run_judgement judgement;
-  if (sight.adopted)
+  if (run.adopted)
     return judgement;
-  bool too_long = expected.longest > duration::zero() &&
-                  sight.took > expected.longest &&
-                  sight.took - expected.usual > kStuckAtLeast;
-  judgement.ask = IsUnclear(sight) || too_long;
-  if (too_long && sight.asked) {
-    judgement.state = run_condition::kStuck;
+  bool exceeds_longest = expected.longest > duration::zero() &&
+                         run.elapsed > expected.longest &&
+                         run.elapsed - expected.usual > kMinStuckExcess;
+  judgement.ask_progress = IsOverdue(run) || exceeds_longest;
+  if (exceeds_longest && run.asked) {
+    judgement.condition = run_condition::kStuck;
     judgement.evidence =
-        sight.pace_known ? stuck_evidence::kPace : stuck_evidence::kGuess;
+        run.pace_known ? stuck_evidence::kPace : stuck_evidence::kGuess;
   }
   return judgement;
 }
@@ -72,32 +77,34 @@
   return "?";
 }
 
-run_judgement JudgeRun(const run_sight& sight) {
-  // All work is done, or there is no word of it: only the time tells.
-  if (!sight.percent || *sight.percent >= kAllPercent)
-    return JudgeByLength(sight);
-  duration patience = StillPatience(sight);
-  // Nothing done at all: it stands still since it is known to run.
-  duration still_since = *sight.percent == 0 ? sight.began : sight.reached;
-  if (sight.listed - still_since >= patience)
+run_judgement JudgeRun(const run_observation& run) {
+  // Without listed progress, or at 100 %, only the elapsed time can show that
+  // the run is stuck.
+  if (!run.percent || *run.percent >= kCompletePercent)
+    return JudgeByElapsedTime(run);
+  duration stall_time = StallTime(run);
+  // A run at 0 % has been stalled since it was first known to run.
+  duration stalled_since = *run.percent == 0 ? run.began : run.reached;
+  if (run.listed - stalled_since >= stall_time)
     return {run_condition::kStuck, stuck_evidence::kProgress, {}, false};
-  if (sight.since_listed >= std::max(kOldList, patience))
-    return JudgeByLength(sight);
+  if (run.since_listed >= std::max(kMaxListingAge, stall_time))
+    return JudgeByElapsedTime(run);
   run_judgement judgement;
   judgement.evidence = stuck_evidence::kProgress;
-  judgement.ask = IsUnclear(sight);
-  // The first per cents are too coarse to foretell from.
-  if (sight.adopted || sight.listed - sight.began < sight.expected.usual)
+  judgement.ask_progress = IsOverdue(run);
+  // The first per cents are too coarse to predict the end from.
+  if (run.adopted || run.listed - run.began < run.expected.usual)
     return judgement;
-  judgement.state = run_condition::kAdvancing;
-  // At least: the next per cent may be about to come.
-  judgement.takes = sight.began + Times(sight.listed - sight.began,
-                                        static_cast<double>(kAllPercent) /
-                                            (*sight.percent + 1));
+  judgement.condition = run_condition::kAdvancing;
+  // A lower bound, which assumes that the next per cent is about to be reached.
+  judgement.predicted_length =
+      run.began +
+      Times(run.listed - run.began,
+            static_cast<double>(kCompletePercent) / (*run.percent + 1));
   return judgement;
 }
 
-int WorthOf(const home_job& job, time_point answered) {
+int LatenessRank(const home_job& job, time_point answered) {
   if (answered <= job.objective)
     return 0;
   return answered <= std::min(job.useful_until, job.limit) ? 1 : 2;
@@ -118,22 +125,22 @@
 void stuck_runs::CheckRun(home_job& job,
                           home_task& task,
                           const std::function<duration()>& room_wait) {
-  if (clock_.now() - task.ordered_at < kNeverBefore)
+  if (clock_.now() - task.ordered_at < kMinCheckedAge)
     return;
   upstream_session* session = upstreams_.Find(task.upstream);
   if (!session)
     return;
-  run_judgement judgement = JudgeRun(Look(job, task, *session));
-  if (judgement.ask) {
+  run_judgement judgement = JudgeRun(Observe(job, task, *session));
+  if (judgement.ask_progress) {
     if (task.asked_at < task.ordered_at)
       task.asked_at = clock_.now();
     session->Look();
   }
-  switch (judgement.state) {
-    case run_condition::kSound:
+  switch (judgement.condition) {
+    case run_condition::kHealthy:
       return;
     case run_condition::kAdvancing:
-      OnAdvancing(job, task, *session, judgement.takes, room_wait);
+      OnAdvancing(job, task, *session, judgement.predicted_length, room_wait);
       return;
     case run_condition::kStuck:
       OnStuck(job, task, *session, judgement.evidence);
@@ -141,48 +148,51 @@
   }
 }
 
-run_sight stuck_runs::Look(const home_job& job,
-                           const home_task& task,
-                           const upstream_session& session) const {
-  run_sight sight;
-  // Both the start and the word of the end may have taken so long on their way.
-  sight.took =
+run_observation stuck_runs::Observe(const home_job& job,
+                                    const home_task& task,
+                                    const upstream_session& session) const {
+  run_observation run;
+  // The start request and the report of the end may have been delayed this
+  // long.
+  run.elapsed =
       clock_.now() - task.ordered_at - answers_.Patience(duration::zero());
-  sight.expected = times_.ExpectThere(job, task);
-  sight.expected.longest = Times(
-      sight.expected.longest,
-      std::pow(kAllowedAgain, std::min(task.stopped_as_long, kMostAllowances)));
-  sight.pace_known = job.PaceWithout(task.upstream) > 0;
-  sight.adopted = task.adopted;
-  sight.asked = task.asked_at > task.ordered_at &&
-                clock_.now() - task.asked_at >= answers_.Patience(kAnswerTime);
+  run.expected = times_.ExpectThere(job, task);
+  run.expected.longest =
+      Times(run.expected.longest,
+            std::pow(kRestartAllowance,
+                     std::min(task.stopped_as_long, kMaxRestartAllowances)));
+  run.pace_known = job.PaceWithout(task.upstream) > 0;
+  run.adopted = task.adopted;
+  run.asked = task.asked_at > task.ordered_at &&
+              clock_.now() - task.asked_at >= answers_.Patience(kAnswerTime);
   auto progress = session.Progress({job.key, 0, task.demand.position});
   // An adopted run may have been listed before it was claimed.
   if (progress && progress->listed > task.ordered_at) {
-    sight.percent = progress->percent;
-    sight.began = std::max(progress->began - task.ordered_at, duration::zero());
-    sight.reached =
+    run.percent = progress->percent;
+    run.began = std::max(progress->began - task.ordered_at, duration::zero());
+    run.reached =
         std::max(progress->reached - task.ordered_at, duration::zero());
-    sight.listed = progress->listed - task.ordered_at;
-    sight.since_listed = clock_.now() - progress->listed;
+    run.listed = progress->listed - task.ordered_at;
+    run.since_listed = clock_.now() - progress->listed;
   }
-  return sight;
+  return run;
 }
 
-// Only on an upstream that several runs have shown to be slow: elsewhere it is
-// the task that is long, and would be as long again.
+// Stops the run only on an upstream that several runs have shown to be slow:
+// elsewhere the task itself is long and would take as long again.
 void stuck_runs::OnAdvancing(home_job& job,
                              home_task& task,
                              upstream_session& session,
-                             duration takes,
+                             duration predicted_length,
                              const std::function<duration()>& room_wait) {
   time_point now = clock_.now();
-  times_.OnForetold(job, task, takes, now);
+  times_.OnForetold(job, task, predicted_length, now);
   if (!upstreams_.Standing(task.upstream).slow())
     return;
-  time_point ends = task.ordered_at + takes;
-  time_point ends_anew = now + room_wait() + times_.Expect(job, task).usual;
-  if (ends_anew < ends && WorthOf(job, ends_anew) < WorthOf(job, ends))
+  time_point predicted_end = task.ordered_at + predicted_length;
+  time_point restarted_end = now + room_wait() + times_.Expect(job, task).usual;
+  if (restarted_end < predicted_end &&
+      LatenessRank(job, restarted_end) < LatenessRank(job, predicted_end))
     Stop(job, task, session, stuck_evidence::kProgress);
 }
 
@@ -192,9 +202,9 @@
                          stuck_evidence evidence) {
   time_point now = clock_.now();
   upstreams_.Standing(task.upstream).OnStuck(now);
-  // Only if it can still be answered in useful time.
-  time_point ends_anew = now + times_.Expect(job, task).usual;
-  if (ends_anew >= std::min(job.useful_until, job.limit))
+  // A restart pays only if the job can then still be answered in useful time.
+  time_point restarted_end = now + times_.Expect(job, task).usual;
+  if (restarted_end >= std::min(job.useful_until, job.limit))
     return;
   if (evidence != stuck_evidence::kProgress)
     ++task.stopped_as_long;
--- a/src/runs/stuck_runs.h
+++ b/src/runs/stuck_runs.h
@@ -1,4 +1,5 @@
-// Runs that don't end: which of them are stopped, to start again elsewhere.
+// Detects runs that hang or crawl, and stops those that are better started
+// again elsewhere.
 
 #ifndef SRC_RUNS_STUCK_RUNS_H_
 #define SRC_RUNS_STUCK_RUNS_H_
@@ -17,65 +18,76 @@
 
 namespace jasminedyke {
 
-// What shows that a run is stuck.
+// The evidence by which a run is judged to be stuck.
 enum class stuck_evidence {
-  kProgress,  // its upstream lists how far it is
-  kPace,      // other tasks of its job are done
-  kGuess,     // only what its caller guessed, and its queue's run times
+  kProgress,  // the progress that its upstream lists
+  kPace,      // the run times of other tasks of its job
+  kGuess,     // only the caller's estimate and the run times of its queue
 };
 
 const char* ToString(stuck_evidence evidence);
 
-// A run as it looks from the home. Times count from its order.
-struct run_sight {
-  // By now, less what messages may have taken.
-  duration took = duration::zero();
-  // Where it runs.
+// What a home knows about a run. `began`, `reached` and `listed` count from the
+// start request.
+struct run_observation {
+  // Time since the start request, less what messages may have taken.
+  duration elapsed = duration::zero();
+  // The run time that is expected on this upstream.
   run_expectation expected;
+  // Whether runs of the same job on other upstreams show how long it takes.
   bool pace_known = false;
-  // Nobody here knows when it began; `took` counts from when it was found.
+  // The run was started by an earlier home, so its start time is unknown;
+  // `elapsed` counts from when it was found.
   bool adopted = false;
-  // As listed: how far, when it was known to run, when first so far, and when
-  // last seen so.
+  // Progress as the upstream lists it, the time at which the run was first
+  // known to run, and the times at which this percentage was first and last
+  // listed.
   std::optional<int> percent;
   duration began = duration::zero();
   duration reached = duration::zero();
   duration listed = duration::zero();
+  // Age of the last listing.
   duration since_listed = duration::zero();
-  // Its upstream was asked long enough ago to have answered.
+  // The upstream was asked for progress long enough ago to have answered.
   bool asked = false;
 };
 
 enum class run_condition {
-  kSound,
-  kAdvancing,  // and its end can be foretold
+  kHealthy,
+  kAdvancing,  // progresses steadily enough to predict its end
   kStuck,
 };
 
 struct run_judgement {
-  run_condition state = run_condition::kSound;
+  run_condition condition = run_condition::kHealthy;
   stuck_evidence evidence = stuck_evidence::kGuess;
-  // Of `kAdvancing`: in all.
-  duration takes = duration::zero();
-  // Its upstream should be asked how far it is.
-  bool ask = false;
+  // The predicted total run time, set only for `kAdvancing`.
+  duration predicted_length = duration::zero();
+  // Whether to ask the upstream for the run's progress.
+  bool ask_progress = false;
 };
 
-// Progress goes before any expectation: a run that advances is not stuck,
-// however long it is, and one that stands still is, however short.
-run_judgement JudgeRun(const run_sight& sight);
-
-// What a job gets from its answer at that time: less is better.
-int WorthOf(const home_job& job, time_point answered);
-
-// Answers upstreams that hang or crawl while their health is good, among
-// upstreams of several speeds and tasks of uneven lengths: a hung run holds its
-// job until the caller leaves, but stopping a sound one throws work away and
-// makes its job later than waiting would. So a run is stopped only where
-// starting it again is worth more to the job: it stands still; or it is far
-// beyond what sound runs take and its upstream, though asked, lists no
-// progress; or its upstream is known to be slow, and the foretold end is worth
-// less than that of another run.
+// Listed progress takes precedence over expected run times: a run that advances
+// is not stuck, however long it takes, and one that makes no progress is stuck,
+// however short its time so far.
+run_judgement JudgeRun(const run_observation& sight);
+
+// Ranks a job's answer by its time: 0 within the objective, 1 late but still
+// useful, 2 too late to be of use.
+int LatenessRank(const home_job& job, time_point answered);
+
+// Detects upstreams that hang or crawl while their health checks pass, also
+// when upstreams differ in speed and tasks in length. A hung run blocks its job
+// until the caller leaves, but stopping a healthy run wastes work and makes its
+// job later than waiting would. A run is therefore stopped only where starting
+// it again improves the job's answer:
+//  - it makes no progress;
+//  - it takes far longer than healthy runs, and its upstream, though asked,
+//  lists no
+//    progress;
+//  - its upstream is known to be slow, and the predicted end ranks worse than
+//  the
+//    expected end of a new run.
 class stuck_runs {
  public:
   using counts = std::map<stuck_evidence, uint64_t>;
@@ -91,20 +103,21 @@
         answers_(answers),
         stopped_(stopped) {}
 
-  // Looks at all runs. `room_wait`: what a task that starts anew would wait.
+  // Checks all runs of the jobs. `room_wait` returns how long a restarted task
+  // would wait for room on an upstream.
   void Check(home_job_map& jobs, const std::function<duration()>& room_wait);
 
  private:
   void CheckRun(home_job& job,
                 home_task& task,
                 const std::function<duration()>& room_wait);
-  run_sight Look(const home_job& job,
-                 const home_task& task,
-                 const upstream_session& session) const;
+  run_observation Observe(const home_job& job,
+                          const home_task& task,
+                          const upstream_session& session) const;
   void OnAdvancing(home_job& job,
                    home_task& task,
                    upstream_session& session,
-                   duration takes,
+                   duration predicted_length,
                    const std::function<duration()>& room_wait);
   void OnStuck(home_job& job,
                home_task& task,
--- a/tests/stuck_runs/stuck_runs_test.cc
+++ b/tests/stuck_runs/stuck_runs_test.cc
@@ -1,4 +1,4 @@
-// Which runs are stuck, and which upstreams slow.
+// Tests which runs are judged stuck and which upstreams slow.
 
 #include <algorithm>
 #include <random>
@@ -16,24 +16,25 @@
 
 using std::chrono::milliseconds;
 
-run_sight Sight(int took_ms, int usual_ms, int longest_ms) {
-  run_sight sight;
-  sight.took = milliseconds(took_ms);
-  sight.expected = {milliseconds(usual_ms), milliseconds(longest_ms)};
-  sight.asked = true;
-  return sight;
+run_observation Observation(int elapsed_ms, int usual_ms, int longest_ms) {
+  run_observation run;
+  run.elapsed = milliseconds(elapsed_ms);
+  run.expected = {milliseconds(usual_ms), milliseconds(longest_ms)};
+  run.asked = true;
+  return run;
 }
 
-void List(run_sight& sight, int percent, int reached_ms, int listed_ms) {
-  sight.percent = percent;
-  sight.reached = milliseconds(reached_ms);
-  sight.listed = milliseconds(listed_ms);
-  sight.since_listed = sight.took - sight.listed;
+void List(run_observation& run, int percent, int reached_ms, int listed_ms) {
+  run.percent = percent;
+  run.reached = milliseconds(reached_ms);
+  run.listed = milliseconds(listed_ms);
+  run.since_listed = run.elapsed - run.listed;
 }
 
-// A home among upstreams that list how far their runs are.
+// A home whose upstreams list the progress of their runs.
 struct stuck_home : home_fixture {
-  // Upstreams of these speeds in turn, each with room for two tasks.
+  // Adds upstreams that take these speeds in turn, each with room for two
+  // tasks.
   void Begin(int upstreams, const std::vector<double>& speeds) {
     for (int i = 0; i < upstreams; ++i) {
       fake_upstream& upstream =
@@ -52,8 +53,8 @@
     return known == lengths.end() ? milliseconds(100) : known->second;
   }
 
-  // `guess` of a job of `tasks` tasks that each take `length` times a random
-  // factor near 1.
+  // Submits a job of `tasks` tasks that each take `length` times a random
+  // factor near 1; the caller estimates `guess` for each.
   job_key Submit(uint32_t tasks,
                  duration length,
                  duration guess,
@@ -76,7 +77,7 @@
       lengths[{request.job, 0, demand.position}] =
           FromSeconds(ToSeconds(length) * Uniform(0.85, 1.15));
     }
-    asked += static_cast<int>(tasks);
+    submitted_tasks += static_cast<int>(tasks);
     home.OnRequest(instance_id("entry-1"), request);
     return request.job;
   }
@@ -86,7 +87,8 @@
       clock.Advance(milliseconds(1));
   }
 
-  // A job of two or three tasks each 40 ms, guesses off by 40 %.
+  // Submits a job of two or three tasks every 40 ms. Estimates are off by up to
+  // 40 %, and `tail_share` of the jobs take seven times as long.
   void Play(duration length, double tail_share = 0) {
     for (time_point end = clock.now() + length; clock.now() < end;) {
       duration each = FromSeconds(0.1 * Uniform(0.8, 1.2) *
@@ -113,7 +115,7 @@
     auto found = home.metrics().stuck.find(evidence);
     return found == home.metrics().stuck.end() ? 0 : found->second;
   }
-  // How long the run takes until it is stopped, of one that hangs.
+  // Time until the next run is stopped as stuck.
   duration UntilStopped(duration at_most) {
     uint64_t before = Stuck();
     time_point begun = clock.now();
@@ -126,41 +128,42 @@
   bool lists_progress = true;
   std::map<task_name, duration> lengths;
   int jobs = 0;
-  int asked = 0;
+  int submitted_tasks = 0;
 };
 
 }  // namespace
 
-TEST_CASE("stuck_runs: progress goes before any expectation") {
-  // It advances, far beyond what sound runs take.
-  run_sight sight = Sight(2000, 100, 300);
-  List(sight, 40, 1990, 1995);
-  run_judgement judgement = JudgeRun(sight);
-  CHECK(judgement.state == run_condition::kAdvancing);
-  CHECK(ToMilliseconds(judgement.takes) == doctest::Approx(1995 / 0.41));
-  // It stands still, though it is young.
-  List(sight = Sight(140, 100, 300), 30, 40, 135);
-  CHECK(JudgeRun(sight).state == run_condition::kStuck);
-  CHECK(JudgeRun(sight).evidence == stuck_evidence::kProgress);
-  // It has not begun to work at all.
-  List(sight = Sight(140, 100, 300), 0, 135, 135);
-  CHECK(JudgeRun(sight).state == run_condition::kStuck);
-  // It began late.
-  sight.began = milliseconds(130);
-  CHECK(JudgeRun(sight).state == run_condition::kSound);
-  // A long expectation gives a per cent more time.
-  List(sight = Sight(140, 900, 3000), 30, 40, 135);
-  CHECK(JudgeRun(sight).state == run_condition::kSound);
-  // Too early to foretell anything.
-  List(sight = Sight(60, 100, 300), 1, 10, 10);
-  CHECK(JudgeRun(sight).state == run_condition::kSound);
-  // Nobody knows when it began: what its end would be can't be said.
-  List(sight = Sight(140, 100, 300), 30, 130, 135);
-  sight.adopted = true;
-  CHECK(JudgeRun(sight).state == run_condition::kSound);
+TEST_CASE("stuck_runs: listed progress takes precedence over expected times") {
+  // The run advances, though it takes far longer than healthy runs.
+  run_observation run = Observation(2000, 100, 300);
+  List(run, 40, 1990, 1995);
+  run_judgement judgement = JudgeRun(run);
+  CHECK(judgement.condition == run_condition::kAdvancing);
+  CHECK(ToMilliseconds(judgement.predicted_length) ==
+        doctest::Approx(1995 / 0.41));
+  // The run makes no progress, though it is young.
+  List(run = Observation(140, 100, 300), 30, 40, 135);
+  CHECK(JudgeRun(run).condition == run_condition::kStuck);
+  CHECK(JudgeRun(run).evidence == stuck_evidence::kProgress);
+  // The run has stayed at 0 %.
+  List(run = Observation(140, 100, 300), 0, 135, 135);
+  CHECK(JudgeRun(run).condition == run_condition::kStuck);
+  // The run began late.
+  run.began = milliseconds(130);
+  CHECK(JudgeRun(run).condition == run_condition::kHealthy);
+  // A longer expected time allows more time for each per cent.
+  List(run = Observation(140, 900, 3000), 30, 40, 135);
+  CHECK(JudgeRun(run).condition == run_condition::kHealthy);
+  // It is too early to predict the end.
+  List(run = Observation(60, 100, 300), 1, 10, 10);
+  CHECK(JudgeRun(run).condition == run_condition::kHealthy);
+  // The start of an adopted run is unknown, so its end can't be predicted.
+  List(run = Observation(140, 100, 300), 30, 130, 135);
+  run.adopted = true;
+  CHECK(JudgeRun(run).condition == run_condition::kHealthy);
 }
 
-TEST_CASE("home_job: its pace is not that of one upstream") {
+TEST_CASE("home_job: the pace of a job does not depend on one upstream alone") {
   home_job job;
   CHECK(job.Pace() == 0);
   upstream_id slow("slow");
@@ -174,31 +177,38 @@
   CHECK(job.PaceWithout(slow) == 1.1);
 }
 
-TEST_CASE("stuck_runs: without progress only the time tells") {
-  CHECK(!JudgeRun(Sight(140, 100, 300)).ask);
-  CHECK(JudgeRun(Sight(160, 100, 300)).ask);
-  CHECK(JudgeRun(Sight(160, 100, 300)).state == run_condition::kSound);
-  CHECK(JudgeRun(Sight(310, 100, 300)).state == run_condition::kStuck);
-  CHECK(JudgeRun(Sight(310, 100, 300)).evidence == stuck_evidence::kGuess);
-  // Its upstream may list it in a moment.
-  run_sight sight = Sight(310, 100, 300);
-  sight.asked = false;
-  CHECK(JudgeRun(sight).state == run_condition::kSound);
-  CHECK(JudgeRun(sight).ask);
-  sight = Sight(310, 100, 300);
-  sight.pace_known = true;
-  CHECK(JudgeRun(sight).evidence == stuck_evidence::kPace);
-  // What was listed long ago says nothing.
-  List(sight, 50, 20, 20);
-  CHECK(JudgeRun(sight).evidence == stuck_evidence::kPace);
-  sight.adopted = true;
-  CHECK(JudgeRun(sight).state == run_condition::kSound);
-  // Of a task without any expectation: it is looked at, and left alone.
-  CHECK(JudgeRun(Sight(1500, 0, 0)).ask);
-  CHECK(JudgeRun(Sight(60'000, 0, 0)).state == run_condition::kSound);
+TEST_CASE(
+    "stuck_runs: without listed progress runs are judged by elapsed time") {
+  CHECK(!JudgeRun(Observation(140, 100, 300)).ask_progress);
+  CHECK(JudgeRun(Observation(160, 100, 300)).ask_progress);
+  CHECK(JudgeRun(Observation(160, 100, 300)).condition ==
+        run_condition::kHealthy);
+  CHECK(JudgeRun(Observation(310, 100, 300)).condition ==
+        run_condition::kStuck);
+  CHECK(JudgeRun(Observation(310, 100, 300)).evidence ==
+        stuck_evidence::kGuess);
+  // The upstream has not had time to list the run's progress.
+  run_observation run = Observation(310, 100, 300);
+  run.asked = false;
+  CHECK(JudgeRun(run).condition == run_condition::kHealthy);
+  CHECK(JudgeRun(run).ask_progress);
+  run = Observation(310, 100, 300);
+  run.pace_known = true;
+  CHECK(JudgeRun(run).evidence == stuck_evidence::kPace);
+  // An old listing is ignored.
+  List(run, 50, 20, 20);
+  CHECK(JudgeRun(run).evidence == stuck_evidence::kPace);
+  run.adopted = true;
+  CHECK(JudgeRun(run).condition == run_condition::kHealthy);
+  // A task without any expected time: the upstream is asked for progress, and
+  // the run goes on.
+  CHECK(JudgeRun(Observation(1500, 0, 0)).ask_progress);
+  CHECK(JudgeRun(Observation(60'000, 0, 0)).condition ==
+        run_condition::kHealthy);
 }
 
-TEST_CASE("upstream_standing: slow is what several jobs show") {
+TEST_CASE(
+    "upstream_standing: an upstream is slow after slow runs of several jobs") {
   upstream_standing standing;
   time_point now;
   task_name first{job_key("a"), 0, {}};
@@ -210,7 +220,7 @@
   CHECK(!standing.good());
   standing.OnDone();
   CHECK(standing.good());
-  // Where long tasks are frequent more of them are needed.
+  // Where long tasks are frequent, more slow runs are needed.
   standing.OnSlow(now, first, 0.03);
   standing.OnSlow(now, second, 0.03);
   CHECK(standing.good());
@@ -218,118 +228,121 @@
   CHECK(!standing.good());
 }
 
-TEST_CASE("stuck_runs: three speeds with healthy siblings") {
-  // Guards against sound runs stopped because siblings ran on faster upstreams.
-  stuck_home d;
-  d.Begin(18, {0.6, 1.0, 1.6});
-  d.Play(std::chrono::seconds(10));
-  d.Run(std::chrono::seconds(3));
-  CHECK(d.Stuck() == 0);
-  CHECK(d.home.metrics().trials == 0);
-  CHECK(d.Count(task_verdict::kDone) == d.asked);
+TEST_CASE("stuck_runs: healthy runs on upstreams of three speeds go on") {
+  // Guards against healthy runs being stopped because other tasks of their job
+  // ran on faster upstreams.
+  stuck_home f;
+  f.Begin(18, {0.6, 1.0, 1.6});
+  f.Play(std::chrono::seconds(10));
+  f.Run(std::chrono::seconds(3));
+  CHECK(f.Stuck() == 0);
+  CHECK(f.home.metrics().trials == 0);
+  CHECK(f.Count(task_verdict::kDone) == f.submitted_tasks);
 }
 
-TEST_CASE("stuck_runs: three speeds, and long tasks that nobody foresees") {
-  stuck_home d;
-  d.Begin(24, {0.6, 1.0, 1.6});
-  d.Play(std::chrono::seconds(10), 0.03);
-  d.Run(std::chrono::seconds(6));
-  CHECK(d.Stuck() == 0);
-  CHECK(d.home.metrics().trials <= 2);
-  CHECK(d.Count(task_verdict::kDone) == d.asked);
+TEST_CASE(
+    "stuck_runs: unexpectedly long tasks on upstreams of three speeds go on") {
+  stuck_home f;
+  f.Begin(24, {0.6, 1.0, 1.6});
+  f.Play(std::chrono::seconds(10), 0.03);
+  f.Run(std::chrono::seconds(6));
+  CHECK(f.Stuck() == 0);
+  CHECK(f.home.metrics().trials <= 2);
+  CHECK(f.Count(task_verdict::kDone) == f.submitted_tasks);
 }
 
-TEST_CASE("stuck_runs: a task that hangs") {
+TEST_CASE("stuck_runs: a hung run is stopped and started again") {
   // Guards against a job that waits for one hung run until its caller leaves.
-  stuck_home d;
+  stuck_home f;
   SUBCASE("its upstream lists progress") {
-    d.Begin(6, {0.6, 1.0, 1.6});
+    f.Begin(6, {0.6, 1.0, 1.6});
   }
   SUBCASE("its upstream lists none") {
-    d.lists_progress = false;
-    d.Begin(6, {1.0});
+    f.lists_progress = false;
+    f.Begin(6, {1.0});
   }
-  d.Play(std::chrono::seconds(4));
-  d.Run(std::chrono::seconds(2));
-  CHECK(d.Stuck() == 0);
-  job_key job = d.Submit(1, milliseconds(100), milliseconds(100));
-  d.lengths[{job, 0, {}}] = std::chrono::hours(1);
-  for (auto& [id, upstream] : d.fleet.upstreams)
+  f.Play(std::chrono::seconds(4));
+  f.Run(std::chrono::seconds(2));
+  CHECK(f.Stuck() == 0);
+  job_key job = f.Submit(1, milliseconds(100), milliseconds(100));
+  f.lengths[{job, 0, {}}] = std::chrono::hours(1);
+  for (auto& [id, upstream] : f.fleet.upstreams)
     upstream->hangs = [&](const task_name& task) { return task.job == job; };
-  // No later than by a fixed multiple of the guess.
-  CHECK(ToMilliseconds(d.UntilStopped(std::chrono::seconds(2))) <=
+  // The bound is that of a fixed multiple of the estimate.
+  CHECK(ToMilliseconds(f.UntilStopped(std::chrono::seconds(2))) <=
         350 + 50 + 10);
-  for (auto& [id, upstream] : d.fleet.upstreams)
+  for (auto& [id, upstream] : f.fleet.upstreams)
     upstream->hangs = nullptr;
-  d.lengths.erase({job, 0, {}});
-  d.Run(std::chrono::seconds(1));
-  CHECK(d.Count(task_verdict::kDone) == d.asked);
+  f.lengths.erase({job, 0, {}});
+  f.Run(std::chrono::seconds(1));
+  CHECK(f.Count(task_verdict::kDone) == f.submitted_tasks);
 }
 
-TEST_CASE("stuck_runs: a queue without guesses") {
-  // Guards against hung runs that nobody looks for as there is no guess.
-  stuck_home d;
-  d.Begin(6, {0.6, 1.0, 1.6});
+TEST_CASE("stuck_runs: a hung run in a queue without estimates is stopped") {
+  // Guards against hung runs going undetected when callers give no estimate.
+  stuck_home f;
+  f.Begin(6, {0.6, 1.0, 1.6});
   for (int i = 0; i < 100; ++i) {
-    d.Submit(2, milliseconds(100), duration::zero());
-    d.Run(milliseconds(60));
+    f.Submit(2, milliseconds(100), duration::zero());
+    f.Run(milliseconds(60));
   }
-  d.Run(std::chrono::seconds(1));
-  CHECK(d.Stuck() == 0);
-  job_key job = d.Submit(1, milliseconds(100), duration::zero());
-  for (auto& [id, upstream] : d.fleet.upstreams)
+  f.Run(std::chrono::seconds(1));
+  CHECK(f.Stuck() == 0);
+  job_key job = f.Submit(1, milliseconds(100), duration::zero());
+  for (auto& [id, upstream] : f.fleet.upstreams)
     upstream->hangs = [&](const task_name& task) { return task.job == job; };
-  CHECK(ToMilliseconds(d.UntilStopped(std::chrono::seconds(2))) < 500);
+  CHECK(ToMilliseconds(f.UntilStopped(std::chrono::seconds(2))) < 500);
 }
 
 TEST_CASE("stuck_runs: a whole upstream hangs") {
-  // Its health is good and it starts what it is told to; nothing ends.
-  stuck_home d;
-  d.Begin(6, {0.6, 1.0, 1.6});
-  d.Play(std::chrono::seconds(3));
-  fake_upstream& hung = d.At(1);
+  // The upstream passes its health checks and starts tasks, but no run ends.
+  stuck_home f;
+  f.Begin(6, {0.6, 1.0, 1.6});
+  f.Play(std::chrono::seconds(3));
+  fake_upstream& hung = f.At(1);
   hung.hangs = [](const task_name&) { return true; };
-  d.Play(std::chrono::seconds(3));
+  f.Play(std::chrono::seconds(3));
   size_t touched = hung.starts.size();
-  // Two tasks, then single trials.
-  CHECK(d.Stuck() >= 1);
-  CHECK(d.Stuck() <= 6);
-  CHECK(d.Stuck(stuck_evidence::kProgress) == d.Stuck());
+  // Two tasks hang, then single trials.
+  CHECK(f.Stuck() >= 1);
+  CHECK(f.Stuck() <= 6);
+  CHECK(f.Stuck(stuck_evidence::kProgress) == f.Stuck());
   hung.hangs = nullptr;
-  // Where there is no other room it gets a trial, and is trusted again.
+  // When no other upstream has room, the upstream gets a trial and becomes good
+  // again.
   for (int i = 0; i < 20; ++i) {
     for (int j = 0; j < 8; ++j)
-      d.Submit(2, milliseconds(100), milliseconds(100), milliseconds(900));
-    d.Run(milliseconds(500));
+      f.Submit(2, milliseconds(100), milliseconds(100), milliseconds(900));
+    f.Run(milliseconds(500));
   }
   CHECK(hung.starts.size() > touched + 10);
-  CHECK(d.Count(task_verdict::kDone) == d.asked);
+  CHECK(f.Count(task_verdict::kDone) == f.submitted_tasks);
 }
 
 TEST_CASE("stuck_runs: all upstreams of one kind are slow at once") {
-  // Guards against a home that takes all of its room out of use.
-  stuck_home d;
-  d.Begin(12, {1.0});
-  d.Play(std::chrono::seconds(3));
-  for (auto& [id, upstream] : d.fleet.upstreams)
+  // Guards against a home that takes all of its upstreams out of use.
+  stuck_home f;
+  f.Begin(12, {1.0});
+  f.Play(std::chrono::seconds(3));
+  for (auto& [id, upstream] : f.fleet.upstreams)
     upstream->speed = 0.2;
   for (int i = 0; i < 20; ++i) {
-    d.Submit(2, milliseconds(100), milliseconds(100), milliseconds(600));
-    d.Run(milliseconds(150));
+    f.Submit(2, milliseconds(100), milliseconds(100), milliseconds(600));
+    f.Run(milliseconds(150));
   }
-  d.Run(std::chrono::seconds(3));
-  CHECK(d.Stuck() <= 2);
-  CHECK(d.home.metrics().trials <= 4);
-  CHECK(d.Count(task_verdict::kDone) == d.asked);
+  f.Run(std::chrono::seconds(3));
+  CHECK(f.Stuck() <= 2);
+  CHECK(f.home.metrics().trials <= 4);
+  CHECK(f.Count(task_verdict::kDone) == f.submitted_tasks);
 }
 
 TEST_CASE("stuck_runs: runs of a slowed upstream advance") {
-  // Started again only where that is worth more to their jobs.
-  stuck_home d;
-  d.Begin(6, {1.0});
-  d.Play(std::chrono::seconds(3));
-  d.Run(std::chrono::seconds(1));
-  fake_upstream& slowed = d.At(2);
+  // Runs are started again only where that improves their job's answer.
+  stuck_home f;
+  f.Begin(6, {1.0});
+  f.Play(std::chrono::seconds(3));
+  f.Run(std::chrono::seconds(1));
+  fake_upstream& slowed = f.At(2);
   double slowdown = 8;
   duration objective;
   bool pays = false;
@@ -349,14 +362,14 @@
     objective = std::chrono::seconds(4);
   }
   slowed.speed = 1 / slowdown;
-  // Enough at once for all upstreams.
+  // Enough jobs at once to use all upstreams.
   for (int i = 0; i < 4; ++i)
-    d.Submit(3, milliseconds(300), milliseconds(300), objective);
-  d.Run(std::chrono::seconds(4));
-  CHECK((d.Stuck() > 0) == pays);
-  CHECK(d.Stuck() <= 3);
-  CHECK(d.Count(task_verdict::kDone) == d.asked);
-  CHECK(d.home.metrics().done == static_cast<uint64_t>(d.asked));
+    f.Submit(3, milliseconds(300), milliseconds(300), objective);
+  f.Run(std::chrono::seconds(4));
+  CHECK((f.Stuck() > 0) == pays);
+  CHECK(f.Stuck() <= 3);
+  CHECK(f.Count(task_verdict::kDone) == f.submitted_tasks);
+  CHECK(f.home.metrics().done == static_cast<uint64_t>(f.submitted_tasks));
 }
 
 }  // namespace jasminedyke
