--- a/src/runs/crash_record.cc
+++ b/src/runs/crash_record.cc
@@ -8,24 +8,26 @@
 
 namespace {
 
-// After so many no upstream is risked any more: of all, and of those under
-// which the task had begun.
-constexpr int kMostLosses = 3;
-constexpr int kMostBegunLosses = 2;
-// Of one task, the newest.
-constexpr size_t kMostKept = 8;
-// Upstreams that are lost at one moment show so within a lease's length of each
-// other.
+// Losses after which a task is held, so that it puts no further upstream at
+// risk: of all losses, and of those under which the task is known to have
+// begun.
+constexpr int kLossesUntilHeld = 3;
+constexpr int kBegunLossesUntilHeld = 2;
+// Number of losses kept per task; the newest are kept.
+constexpr size_t kMaxKeptLosses = 8;
+// Upstreams that fail at the same moment are found lost within a lease's length
+// of each other.
 constexpr duration kSharedWindow = std::chrono::milliseconds(1100);
-// More than so many within the window, and than this share of all, are lost for
-// a reason of their own.
+// Losses within the window are shared if they exceed both this number and this
+// share of all upstreams: they then have a cause other than a task.
 constexpr size_t kFewLosses = 2;
 constexpr double kSharedShare = 0.05;
-// Callers send a job again within some seconds.
-constexpr duration kRemembered = std::chrono::seconds(60);
-constexpr size_t kMostEntries = 2'000;
+// Callers submit a job again within some seconds.
+constexpr duration kRetention = std::chrono::seconds(60);
+constexpr size_t kMaxEntries = 2'000;
 
-// Registrations of older releases tell no birth.
+// Compares by id alone if either birth is unknown: registrations of older
+// releases have none.
 bool IsSame(const upstream_incarnation& a, const upstream_incarnation& b) {
   bool any_unknown = a.birth == upstream_birth() || b.birth == upstream_birth();
   return a.id == b.id && !a.id.empty() && (any_unknown || a.birth == b.birth);
@@ -37,7 +39,7 @@
                                   const upstream_loss& lost,
                                   size_t upstreams) {
   upstreams_ = upstreams;
-  losses_.push_back(now);
+  upstream_losses_.push_back(now);
   std::erase_if(explained_, [&](const auto& each) {
     return IsSame(each.first, lost.upstream);
   });
@@ -49,7 +51,7 @@
   auto found = entries_.find(task);
   if (found != entries_.end())
     return &found->second;
-  return entries_.size() < kMostEntries ? &entries_[task] : nullptr;
+  return entries_.size() < kMaxEntries ? &entries_[task] : nullptr;
 }
 
 bool crash_record::Add(const task_name& task, const loss& added) {
@@ -63,7 +65,7 @@
   });
   if (is_known)
     return false;
-  if (found->losses.size() >= kMostKept)
+  if (found->losses.size() >= kMaxKeptLosses)
     found->losses.erase(found->losses.begin());
   found->losses.push_back(added);
   found->told = false;
@@ -88,10 +90,10 @@
 }
 
 template <class Condition>
-bool crash_record::EraseLosses(const Condition& of) {
+bool crash_record::EraseLosses(const Condition& is_erased) {
   size_t erased = 0;
   for (auto& [task, found] : entries_)
-    erased += std::erase_if(found.losses, of);
+    erased += std::erase_if(found.losses, is_erased);
   std::erase_if(entries_,
                 [](const auto& each) { return each.second.losses.empty(); });
   return erased > 0;
@@ -114,12 +116,13 @@
   }
 }
 
-// Whoever told has told all instances.
+// Doesn't pass the news on: the sender has told all instances.
 void crash_record::TakeSuspect(const crash_suspect& suspect, time_point now) {
   auto known = entries_.find(suspect.task);
-  bool has_more = known != entries_.end() && !known->second.told;
+  bool has_untold = known != entries_.end() && !known->second.told;
   for (const task_loss& heard : suspect.losses) {
-    // Of those without an id nobody can say which are the same.
+    // Losses without an id can't be told apart, so they count only if the news
+    // has more losses than are recorded.
     bool may_be_known = heard.upstream.id.empty() &&
                         LossesOf(suspect.task).size() >= suspect.losses.size();
     if (!may_be_known)
@@ -127,11 +130,11 @@
   }
   known = entries_.find(suspect.task);
   if (known != entries_.end())
-    known->second.told = !has_more;
+    known->second.told = !has_untold;
 }
 
 bool crash_record::IsShared(time_point lost) const {
-  auto near = std::ranges::count_if(losses_, [&](time_point other) {
+  auto near = std::ranges::count_if(upstream_losses_, [&](time_point other) {
     return other >= lost - kSharedWindow && other <= lost + kSharedWindow;
   });
   auto limit = static_cast<size_t>(
@@ -139,30 +142,30 @@
   return static_cast<size_t>(near) > std::max(kFewLosses, limit);
 }
 
-bool crash_record::IsSingle(const loss& each) const {
+bool crash_record::IsIsolated(const loss& each) const {
   return each.heard || !IsShared(each.at);
 }
 
 crash_suspicion crash_record::Judge(const entry& found, time_point now) const {
-  int single = 0;
+  int isolated = 0;
   int begun = 0;
   for (const loss& each : found.losses) {
-    if (now - each.at >= kRemembered || !IsSingle(each))
+    if (now - each.at >= kRetention || !IsIsolated(each))
       continue;
-    ++single;
+    ++isolated;
     begun += each.what.begun ? 1 : 0;
   }
-  if (single >= kMostLosses || begun >= kMostBegunLosses)
+  if (isolated >= kLossesUntilHeld || begun >= kBegunLossesUntilHeld)
     return crash_suspicion::kHeld;
-  return single > 0 ? crash_suspicion::kSuspect : crash_suspicion::kNone;
+  return isolated > 0 ? crash_suspicion::kSuspect : crash_suspicion::kNone;
 }
 
-// Those that prove nothing here prove nothing elsewhere.
+// Leaves out shared losses: they are no evidence for other instances either.
 crash_suspect crash_record::Describe(const task_name& task,
                                      const entry& found) const {
   crash_suspect suspect{task, {}};
   for (const loss& each : found.losses) {
-    if (IsSingle(each))
+    if (IsIsolated(each))
       suspect.losses.push_back(each.what);
   }
   return suspect;
@@ -184,7 +187,7 @@
   for (const loss& each : found->second.losses) {
     if (Judge(found->second, until) != crash_suspicion::kHeld)
       break;
-    until = std::max(until, each.at + kRemembered);
+    until = std::max(until, each.at + kRetention);
   }
   return until - now;
 }
@@ -224,13 +227,14 @@
 }
 
 void crash_record::Forget(time_point now) {
-  auto is_old = [now](time_point at) { return now - at >= kRemembered; };
-  EraseLosses([&](const loss& each) { return is_old(each.at); });
+  auto is_expired = [now](time_point at) { return now - at >= kRetention; };
+  EraseLosses([&](const loss& each) { return is_expired(each.at); });
   std::erase_if(explained_,
-                [&](const auto& each) { return is_old(each.second.at); });
-  // As long as the losses that they judge.
-  while (!losses_.empty() && is_old(losses_.front() + kSharedWindow))
-    losses_.pop_front();
+                [&](const auto& each) { return is_expired(each.second.at); });
+  // Kept as long as any loss of a task that they may show to be shared.
+  while (!upstream_losses_.empty() &&
+         is_expired(upstream_losses_.front() + kSharedWindow))
+    upstream_losses_.pop_front();
 }
 
 }  // namespace jasminedyke
--- a/src/runs/crash_record.h
+++ b/src/runs/crash_record.h
@@ -1,5 +1,5 @@
-// Which tasks ran on upstreams that were lost: a task may crash every upstream
-// that starts it.
+// Records which tasks ran on upstreams that were lost, to find tasks that crash
+// every upstream that starts them.
 
 #ifndef SRC_RUNS_CRASH_RECORD_H_
 #define SRC_RUNS_CRASH_RECORD_H_
@@ -16,21 +16,21 @@
 
 enum class crash_suspicion {
   kNone,
-  kSuspect,  // runs alone, if an upstream is idle, until it is cleared
-  kHeld,     // not started for now
+  kSuspect,  // runs alone on an upstream, if one is idle, until it is cleared
+  kHeld,     // isn't started until its losses expire
 };
 
-// An upstream that was lost under a task.
+// The loss of an upstream while a task ran on it.
 struct task_loss {
-  // Without an id where nobody knows which one it was.
+  // Has an empty id if it is unknown which upstream was lost.
   upstream_incarnation upstream;
-  // The task is known to have begun there.
+  // The task is known to have begun on that upstream.
   bool begun = false;
 
   bool operator==(const task_loss&) const = default;
 };
 
-// What instances tell each other of a task that is a suspect or worse.
+// A suspected or held task, as instances report it to each other.
 struct crash_suspect {
   task_name task;
   std::vector<task_loss> losses;
@@ -40,61 +40,67 @@
 
 struct crash_news {
   std::vector<crash_suspect> suspects;
-  // Losses of these prove nothing any more.
+  // Upstreams whose losses no longer count as evidence.
   std::vector<upstream_incarnation> explained;
 
   bool empty() const { return suspects.empty() && explained.empty(); }
   bool operator==(const crash_news&) const = default;
 };
 
-// Queued again like any other, a task that crashes what starts it takes down
-// upstream after upstream, and each time all that runs beside it. So whoever
-// ran on a lost upstream is suspect. It runs alone next where an upstream is
-// idle, so that neighbours are safe; it does not wait for one, since at full
-// load upstreams that are kept empty for suspects cost more than the
-// neighbours. One good run clears it, after a second loss it is held.
+// A task that crashes the upstreams that start it would, if it were queued
+// again like any other, take down one upstream after another, and each time all
+// other runs on it. Every task that ran on a lost upstream is therefore a
+// suspect. It next runs alone if an upstream is idle, so that no other runs are
+// at risk; it doesn't wait for an idle upstream, since at full load keeping
+// upstreams empty for suspects costs more than the runs that would be lost. One
+// run that ends clears the task; after a second loss the task is held.
 //
-// Nothing here proves that the task was the cause, so no caller is told that
-// its job failed: it is given up, and refused for as long as this lasts. A run
-// that is not known to have begun may be an order that never arrived; it holds
-// a task only together with two others.
+// None of this proves that the task was the cause, so no caller is told that
+// its job failed: the job is given up, and refused until the losses expire. A
+// run that is not known to have begun may be a start request that never
+// arrived; its loss holds a task only together with two others.
 //
-// An upstream's loss counts once, whoever saw it, and no longer once it is
-// explained: the upstream answers again, or had said that it would go. That is
-// remembered as long, or an instance that was not told would bring it back.
-// Upstreams that are lost together (power, a cut, a restart of many) prove
-// nothing, or the tasks of a whole failure domain would be suspect. A real
-// crasher among them shows by its next losses.
+// The loss of an upstream counts once, whichever instance saw it, and no longer
+// counts once it is explained: the upstream answers again, or had announced
+// that it would stop. Explanations are remembered as long as losses, or an
+// instance that was not told would bring the loss back. Upstreams that are lost
+// together (power failure, network partition, restart of many) prove nothing,
+// or all tasks of a failure domain would be suspects. A task among them that
+// does crash upstreams is detected by its next losses.
 //
-// Bounded in size and time; a caller that sends a job again does so sooner.
+// The record is bounded in size and time; a caller that submits a job again
+// does so before the losses expire.
 class crash_record {
  public:
-  // One of so many upstreams that the home has.
+  // Records the loss of one of the home's `upstreams` upstreams.
   void OnUpstreamLost(time_point now,
                       const upstream_loss& lost,
                       size_t upstreams);
-  // The loss, if there was one, says nothing of what ran there.
+  // Removes the loss of this upstream, if there was one, as evidence against
+  // the tasks that ran there.
   void OnExplained(const upstream_incarnation& upstream, time_point now);
-  // Of a run under an earlier home nothing is found. Of others that says
-  // little, but that of a suspect probably took its upstream down. False if it
-  // was none.
+  // Records a loss if a run that an earlier home started is not found and its
+  // task is a suspect: the run probably crashed its upstream. For other tasks a
+  // missing run is no evidence. Returns whether a loss was recorded.
   bool OnSuspectRunMissing(const task_name& task, time_point now);
-  // A run ended, and its upstream lives.
+  // Clears the task: one of its runs ended without the loss of its upstream.
   void OnRunEnded(const task_name& task);
-  // From another instance.
+  // Merges news from another instance.
   void Take(const crash_news& news, time_point now);
 
   crash_suspicion SuspicionLevel(const task_name& task, time_point now) const;
-  // Until a task that is held may be started again.
+  // Time until a held task may be started again.
   duration RemainingHoldTime(const task_name& task, time_point now) const;
-  // Empty if there are none.
+  // The losses that count against the task.
   std::vector<task_loss> LossesOf(const task_name& task) const;
-  // What others have not been told yet. At once, as the home may be lost next;
-  // of upstreams that are lost together only the first few are told of.
+  // Returns what the other instances have not been told yet. The news is sent
+  // at once, as the home may be lost next, so of upstreams that are lost
+  // together only the first few are reported.
   crash_news TakeNews();
-  // For one that knows nothing yet.
+  // The full record, for an instance that has just joined.
   crash_news All(time_point now) const;
 
+  // Removes expired losses and explanations.
   void Forget(time_point now);
   size_t size() const { return entries_.size(); }
 
@@ -102,13 +108,15 @@
   struct loss {
     task_loss what;
     time_point at;
-    // By another instance, which judged it not to be one of many.
+    // Reported by another instance, which found that the upstream was not lost
+    // together with many others.
     bool heard = false;
   };
 
   struct entry {
-    // By time; bounded, never empty.
+    // In the order of recording; bounded, never empty.
     std::vector<loss> losses;
+    // The other instances know all losses.
     bool told = false;
   };
 
@@ -117,27 +125,31 @@
     bool told = false;
   };
 
-  // Null if the record is full.
+  // Returns null if the record is full.
   entry* FindOrAdd(const task_name& task);
-  // False if it is known.
+  // Returns whether the loss is new and was recorded.
   bool Add(const task_name& task, const loss& added);
   void TakeSuspect(const crash_suspect& suspect, time_point now);
-  // False if nothing was held against any task.
+  // Removes the losses of the upstream; returns whether there were any.
   bool Erase(const upstream_incarnation& upstream);
   template <class Condition>
-  bool EraseLosses(const Condition& of);
+  bool EraseLosses(const Condition& is_erased);
   bool IsExplained(const upstream_incarnation& upstream) const;
-  bool IsSingle(const loss& each) const;
-  // By what is not forgotten at that time.
+  // Whether the loss counts, as its upstream was not lost together with many
+  // others.
+  bool IsIsolated(const loss& each) const;
+  // Judges by the losses that have not expired at `now`.
   crash_suspicion Judge(const entry& found, time_point now) const;
   crash_suspect Describe(const task_name& task, const entry& found) const;
-  // Many upstreams were lost at about that time.
+  // Whether many upstreams were lost at about this time.
   bool IsShared(time_point lost) const;
 
   std::map<task_name, entry> entries_;
-  // Of upstreams; those of tasks are judged by them.
-  std::deque<time_point> losses_;
+  // Times at which upstreams were lost. They show which losses of tasks are
+  // shared.
+  std::deque<time_point> upstream_losses_;
   std::map<upstream_incarnation, explanation> explained_;
+  // The number of upstreams that the home has.
   size_t upstreams_ = 0;
 };
 
--- a/tests/crash_record/crash_record_test.cc
+++ b/tests/crash_record/crash_record_test.cc
@@ -1,4 +1,4 @@
-// Which tasks are held to crash the upstreams that start them.
+// Tests which tasks are suspected of crashing the upstreams that start them.
 
 #include <string>
 #include <vector>
@@ -40,7 +40,8 @@
 
 }  // namespace
 
-TEST_CASE("crash_record: whoever ran there is suspect, one good run clears") {
+TEST_CASE(
+    "crash_record: tasks of a lost upstream are suspects until a run ends") {
   crash_record record;
   record.OnUpstreamLost(At(0), Loss("u1", {Task(1), Task(2)}), kUpstreams);
   CHECK(record.SuspicionLevel(Task(1), At(10)) == crash_suspicion::kSuspect);
@@ -51,7 +52,7 @@
   CHECK(record.SuspicionLevel(Task(2), At(10)) == crash_suspicion::kNone);
 }
 
-TEST_CASE("crash_record: a second loss holds, but only who was there") {
+TEST_CASE("crash_record: a second loss holds only the tasks that ran there") {
   crash_record record;
   record.OnUpstreamLost(At(0), Loss("u1", {Task(1), Task(2)}), kUpstreams);
   record.OnUpstreamLost(At(2000), Loss("u2", {Task(1)}), kUpstreams);
@@ -60,10 +61,11 @@
   CHECK(record.SuspicionLevel(Task(2), At(2001)) == crash_suspicion::kSuspect);
 }
 
-TEST_CASE("crash_record: orders that may never have arrived hold only later") {
-  // Guards against tasks being held for upstreams that crashed before they
-  // began anything; a task that crashes its upstream before the answer is held
-  // too.
+TEST_CASE(
+    "crash_record: unconfirmed starts hold a task only after three losses") {
+  // Guards against holding tasks for upstreams that crashed before the tasks
+  // began. A task that crashes its upstream before the start is answered is
+  // still held, after more losses.
   crash_record record;
   record.OnUpstreamLost(At(0), Loss("u1", {Task(1)}), kUpstreams);
   record.OnUpstreamLost(At(2000), Loss("u2", {Task(1), Task(2)}, false),
@@ -78,9 +80,11 @@
   CHECK(record.SuspicionLevel(Task(2), At(6001)) == crash_suspicion::kHeld);
 }
 
-TEST_CASE("crash_record: an upstream that answers again was not crashed") {
-  // A link is full: two upstreams in turn don't answer while a task runs there.
-  // As long as nobody knows why, no third upstream is risked.
+TEST_CASE(
+    "crash_record: an upstream that answers again no longer counts as lost") {
+  // A full link makes two upstreams in turn stop answering while a task runs
+  // there. The task is held until the cause is known, so that no third upstream
+  // is at risk.
   crash_record record;
   crash_record other;
   record.OnUpstreamLost(At(0), Loss("u1", {Task(1)}), kUpstreams);
@@ -89,22 +93,21 @@
   CHECK(record.SuspicionLevel(Task(1), At(2001)) == crash_suspicion::kHeld);
   other.Take(record.TakeNews(), At(2002));
   CHECK(other.SuspicionLevel(Task(1), At(2002)) == crash_suspicion::kHeld);
-  SUBCASE("one of them does, also for those who were told") {
+  SUBCASE("one of them answers again, which the other instance is told") {
     record.OnExplained(Upstream("u1"), At(2900));
     CHECK(record.SuspicionLevel(Task(1), At(3000)) ==
           crash_suspicion::kSuspect);
     other.Take(record.TakeNews(), At(3001));
     CHECK(other.SuspicionLevel(Task(1), At(3001)) == crash_suspicion::kSuspect);
   }
-  SUBCASE("neither does") {
+  SUBCASE("neither answers again") {
     CHECK(record.SuspicionLevel(Task(1), At(4000)) == crash_suspicion::kHeld);
   }
 }
 
-TEST_CASE(
-    "crash_record: an instance that was not told does not bring it back") {
-  // Guards against a loss that has been explained returning with the news of an
-  // instance whose link was down meanwhile.
+TEST_CASE("crash_record: outdated news does not bring back an explained loss") {
+  // Guards against an explained loss that returns with the news of an instance
+  // whose link was down meanwhile.
   crash_record record;
   crash_record away;
   record.OnUpstreamLost(At(0), Loss("u1", {Task(1)}), kUpstreams);
@@ -114,16 +117,16 @@
   CHECK(record.SuspicionLevel(Task(1), At(2001)) == crash_suspicion::kNone);
   away.Take(record.All(At(2000)), At(2000));
   CHECK(away.SuspicionLevel(Task(1), At(2001)) == crash_suspicion::kNone);
-  SUBCASE("but it may be lost again") {
+  SUBCASE("a new loss of the upstream counts") {
     record.OnUpstreamLost(At(3000), Loss("u1", {Task(1)}), kUpstreams);
     CHECK(record.SuspicionLevel(Task(1), At(3001)) ==
           crash_suspicion::kSuspect);
   }
 }
 
-TEST_CASE("crash_record: losses are forgotten one by one") {
-  // Guards against a loss among many counting as a single one once the others
-  // are forgotten, and against Retry-After beyond what is held.
+TEST_CASE("crash_record: each loss expires separately") {
+  // Guards against a shared loss that counts as isolated once the others have
+  // expired, and against a Retry-After longer than the remaining hold time.
   crash_record record;
   for (int i = 0; i < 20; ++i)
     record.OnUpstreamLost(At(0), Loss("u" + std::to_string(i), {Task(1)}),
@@ -139,9 +142,9 @@
         crash_suspicion::kSuspect);
 }
 
-TEST_CASE("crash_record: many upstreams lost together prove nothing") {
-  // A failure domain loses power. Its upstreams are missed within a second of
-  // each other, and a real crasher is among the tasks.
+TEST_CASE("crash_record: many upstreams lost together are no evidence") {
+  // A failure domain loses power. Its upstreams are found lost within a second
+  // of each other, and one of their tasks does crash upstreams.
   crash_record record;
   for (uint32_t i = 0; i < 20; ++i) {
     record.OnUpstreamLost(At(static_cast<int>(i) * 30),
@@ -153,13 +156,13 @@
   for (uint32_t i = 0; i < 20; ++i)
     CHECK(record.SuspicionLevel(Task(i), At(700)) == crash_suspicion::kNone);
   CHECK(record.TakeNews().suspects.empty());
-  SUBCASE("nor with a single one that others are told of") {
+  SUBCASE("a later isolated loss is reported without the shared ones") {
     crash_record other;
     record.OnUpstreamLost(At(5000), Loss("u30", {Task(7)}), kUpstreams);
     other.Take(record.TakeNews(), At(5001));
     CHECK(other.SuspicionLevel(Task(7), At(5001)) == crash_suspicion::kSuspect);
   }
-  SUBCASE("but the real one shows by its next loss") {
+  SUBCASE("the crashing task is held after its next losses") {
     record.OnUpstreamLost(At(5000), Loss("u30", {Task(7), Task(30)}),
                           kUpstreams);
     CHECK(record.SuspicionLevel(Task(7), At(5001)) ==
@@ -169,7 +172,7 @@
   }
 }
 
-TEST_CASE("crash_record: what one instance saw counts for the others") {
+TEST_CASE("crash_record: losses that one instance saw count for the others") {
   crash_record record;
   crash_record other;
   record.OnUpstreamLost(At(0), Loss("u1", {Task(1)}), kUpstreams);
@@ -178,7 +181,7 @@
   CHECK(record.TakeNews().suspects.empty());
   other.Take(news, At(1300));
   CHECK(other.SuspicionLevel(Task(1), At(1300)) == crash_suspicion::kSuspect);
-  // The caller sends the job again, and another home starts the task.
+  // The caller submits the job again, and another home starts the task.
   other.OnUpstreamLost(At(3000), Loss("u2", {Task(1)}), kUpstreams);
   CHECK(other.SuspicionLevel(Task(1), At(3000)) == crash_suspicion::kHeld);
   record.Take(other.TakeNews(), At(3001));
@@ -186,9 +189,10 @@
   CHECK(record.TakeNews().empty());
 }
 
-TEST_CASE("crash_record: one crash that is both heard of and seen") {
-  // Guards against a crash that the earlier home told of counting once more
-  // when its successor learns of it.
+TEST_CASE(
+    "crash_record: a loss that is both reported and observed counts once") {
+  // Guards against counting a crash twice when an earlier home reported it and
+  // its successor observes it too.
   crash_record record;
   crash_record other;
   record.OnUpstreamLost(At(0), Loss("u1", {Task(1)}), kUpstreams);
@@ -197,7 +201,8 @@
   CHECK(other.SuspicionLevel(Task(1), At(301)) == crash_suspicion::kSuspect);
 }
 
-TEST_CASE("crash_record: two incarnations of one upstream are two") {
+TEST_CASE(
+    "crash_record: losses of two incarnations of an upstream count as two") {
   crash_record record;
   for (uint64_t birth : {6, 7}) {
     upstream_loss loss = Loss("u1", {Task(1)});
@@ -207,8 +212,9 @@
   CHECK(record.SuspicionLevel(Task(1), At(14'001)) == crash_suspicion::kHeld);
 }
 
-TEST_CASE("crash_record: an older release counts only") {
-  // Guards against the same count, told again, adding up.
+TEST_CASE("crash_record: repeated news of losses without ids does not add up") {
+  // Older releases report only the number of losses. Guards against adding up
+  // the same number when it is reported again.
   crash_record record;
   crash_news news{{{Task(1), {{{}, true}}}}, {}};
   record.Take(news, At(0));
@@ -219,7 +225,8 @@
   CHECK(record.SuspicionLevel(Task(1), At(201)) == crash_suspicion::kHeld);
 }
 
-TEST_CASE("crash_record: a suspect whose run vanished with its home") {
+TEST_CASE(
+    "crash_record: a suspect whose run is missing after a takeover is held") {
   crash_record record;
   record.Take({{{Task(1), {{Upstream("u1"), true}}}}, {}}, At(0));
   record.OnSuspectRunMissing(Task(1), At(2000));
@@ -228,7 +235,7 @@
   CHECK(record.SuspicionLevel(Task(2), At(2001)) == crash_suspicion::kNone);
 }
 
-TEST_CASE("crash_record: it forgets, and does not grow without bound") {
+TEST_CASE("crash_record: the record is bounded, and losses expire") {
   crash_record record;
   for (uint32_t i = 0; i < 5'000; ++i)
     record.OnUpstreamLost(At(0), Loss("u1", {Task(i)}), kUpstreams);
--- a/tests/crash_record/crashing_task_test.cc
+++ b/tests/crash_record/crashing_task_test.cc
@@ -1,4 +1,5 @@
-// A task that crashes each upstream that starts it, on whole instances.
+// Tests a task that crashes each upstream that starts it, with complete
+// instances.
 
 #include <string>
 
@@ -13,16 +14,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-const std::string kCrasher = "00000000000000cc";
+const std::string kCrashingJob = "00000000000000cc";
 
-// Two failure domains of two instances and eight upstreams each.
+// Two failure domains of two instances and eight upstreams each, in which the
+// first task of `kCrashingJob` crashes every upstream.
 struct crashing_job : run_nodes {
   crashing_job() {
     for (const char* domain : {"north", "south"}) {
       for (int i = 0; i < 8; ++i) {
         fake_upstream& upstream = fleet.Add(domain + std::to_string(i), domain);
         upstream.crashes = [](const task_name& task) {
-          return task.job.str() == kCrasher && task.position.index == 0;
+          return task.job.str() == kCrashingJob && task.position.index == 0;
         };
         upstream.on_crash = [this, &upstream] { OnCrash(upstream); };
       }
@@ -34,7 +36,8 @@
     Run(milliseconds(1500));
   }
 
-  // Silent for eight seconds; then another incarnation answers at its address.
+  // The upstream is silent for eight seconds; then another incarnation answers
+  // at its address.
   void OnCrash(fake_upstream& upstream) {
     ++crashes;
     clock.CallAfter(seconds(8), [&upstream] {
@@ -43,7 +46,7 @@
     });
   }
 
-  // Until so many upstreams are down, for some seconds at most.
+  // Runs until `number` upstreams have crashed, for five seconds at most.
   void RunToCrash(int number) {
     for (int i = 0; i < 500 && crashes < number; ++i)
       Run(milliseconds(10));
@@ -55,37 +58,37 @@
 
 }  // namespace
 
-TEST_CASE("crashing task: no third upstream is risked") {
-  // Two upstreams fall silent under a task. It is given up at once and refused
-  // as long as that is remembered. The caller is never told that the job has
-  // failed: that the task was the cause is not proven.
+TEST_CASE("crashing task: no third upstream starts it") {
+  // Two upstreams go silent while they run the task. Its job is given up at
+  // once and refused until the losses expire. The caller is never told that the
+  // job failed, because nothing proves that the task was the cause.
   crashing_job d;
-  d.Submit(*d.Find("north-2"), kCrasher, 2, seconds(20));
+  d.Submit(*d.Find("north-2"), kCrashingJob, 2, seconds(20));
   d.Run(seconds(5));
   CHECK(d.crashes == 2);
-  REQUIRE(d.answers[kCrasher].size() == 1);
-  CHECK(d.answers[kCrasher][0].outcome == run_outcome::kUnknown);
-  CHECK(d.answers[kCrasher][0].reason == run_refusal::kUpstreamsLost);
-  d.Submit(*d.Find("north-2"), kCrasher, 2, seconds(20));
+  REQUIRE(d.answers[kCrashingJob].size() == 1);
+  CHECK(d.answers[kCrashingJob][0].outcome == run_outcome::kUnknown);
+  CHECK(d.answers[kCrashingJob][0].reason == run_refusal::kUpstreamsLost);
+  d.Submit(*d.Find("north-2"), kCrashingJob, 2, seconds(20));
   d.Run(milliseconds(100));
-  REQUIRE(d.answers[kCrasher].size() == 2);
-  CHECK(d.answers[kCrasher][1].outcome == run_outcome::kNotRun);
+  REQUIRE(d.answers[kCrashingJob].size() == 2);
+  CHECK(d.answers[kCrashingJob][1].outcome == run_outcome::kNotRun);
   d.Run(seconds(9));
-  d.Submit(*d.Find("north-2"), kCrasher, 2, seconds(20));
+  d.Submit(*d.Find("north-2"), kCrashingJob, 2, seconds(20));
   d.Run(milliseconds(100));
-  REQUIRE(d.answers[kCrasher].size() == 3);
-  CHECK(d.answers[kCrasher][2].outcome == run_outcome::kNotRun);
-  CHECK(d.answers[kCrasher][2].reason == run_refusal::kUpstreamsLost);
-  CHECK(d.answers[kCrasher][2].retry_after > seconds(30));
+  REQUIRE(d.answers[kCrashingJob].size() == 3);
+  CHECK(d.answers[kCrashingJob][2].outcome == run_outcome::kNotRun);
+  CHECK(d.answers[kCrashingJob][2].reason == run_refusal::kUpstreamsLost);
+  CHECK(d.answers[kCrashingJob][2].retry_after > seconds(30));
   CHECK(d.crashes == 2);
 }
 
-TEST_CASE("crashing task: the home dies after each crash") {
-  // The home that saw the crash has told the others, so its successor goes on
-  // from there, and a caller that comes again through another instance after
-  // all of them have died takes down no fourth upstream.
+TEST_CASE("crashing task: the home fails after each crash") {
+  // The home that saw a crash has told the other instances, so its successor
+  // knows of it. A caller that submits the job again through another instance,
+  // after both homes have failed, crashes no further upstream.
   crashing_job d;
-  d.Submit(*d.Find("north-2"), kCrasher, 2, seconds(20));
+  d.Submit(*d.Find("north-2"), kCrashingJob, 2, seconds(20));
   d.RunToCrash(1);
   d.Run(milliseconds(2500));
   d.Kill(*d.Find("north-1"));
@@ -93,18 +96,18 @@
   CHECK(d.crashes == 2);
   d.Kill(*d.Find("north-2"));
   for (int i = 0; i < 3; ++i) {
-    d.Submit(*d.Find("south-2"), kCrasher, 2, seconds(5));
+    d.Submit(*d.Find("south-2"), kCrashingJob, 2, seconds(5));
     d.Run(seconds(6));
   }
   CHECK(d.crashes == 2);
-  REQUIRE(!d.answers[kCrasher].empty());
-  CHECK(d.answers[kCrasher].back().outcome == run_outcome::kNotRun);
-  CHECK(d.answers[kCrasher].back().reason == run_refusal::kUpstreamsLost);
+  REQUIRE(!d.answers[kCrashingJob].empty());
+  CHECK(d.answers[kCrashingJob].back().outcome == run_outcome::kNotRun);
+  CHECK(d.answers[kCrashingJob].back().reason == run_refusal::kUpstreamsLost);
 }
 
-TEST_CASE("crashing task: an instance that starts later hears of it") {
+TEST_CASE("crashing task: an instance that joins later learns of the suspect") {
   crashing_job d;
-  d.Submit(*d.Find("north-2"), kCrasher, 1, seconds(20));
+  d.Submit(*d.Find("north-2"), kCrashingJob, 1, seconds(20));
   d.Run(seconds(8));
   REQUIRE(d.crashes == 2);
   run_node& late = d.Add("south", 3);
