--- a/tests/run_claims/run_claims_test.cc
+++ b/tests/run_claims/run_claims_test.cc
@@ -1,4 +1,5 @@
-// Runs that a home did not order: always looked for, claimed or stopped.
+// Tests that a home finds runs that it did not start, and that they are claimed
+// or stopped.
 
 #include <memory>
 #include <vector>
@@ -15,7 +16,7 @@
 
 const task_name kTask{job_key("00000000000000aa"), 0, {0, 0}};
 
-// Its tasks run for five seconds.
+// A home with two upstreams on which each task runs for five seconds.
 struct claims_fixture : home_fixture {
   claims_fixture() {
     for (const char* id : {"u1", "u2"}) {
@@ -28,7 +29,8 @@
 
   void Begin() { home_fixture::Begin(2); }
 
-  // As an instance that is no home any more, or never was.
+  // Starts `kTask` on an upstream as another instance would, such as an earlier
+  // home.
   start_reply StartAt(const char* id, uint64_t token) {
     upstream_time not_after{At(id).Clock().ms + 60'000};
     run_order order{kTask, run_number(1), "10000", fencing_token(token),
@@ -73,8 +75,8 @@
 }  // namespace
 
 TEST_CASE("run_claims: a start that comes long after the takeover is stopped") {
-  // The order was on its way for seconds, or its sender has been removed. The
-  // caller of the job left long ago.
+  // Guards against a run that goes on after its caller has left: the start
+  // request was delayed for seconds, or its sender has been removed.
   claims_fixture f;
   f.Begin();
   f.clock.Advance(milliseconds(10'000));
@@ -83,8 +85,9 @@
   CHECK(f.Running() == 0);
 }
 
-TEST_CASE("run_claims: a late start on an upstream that crashed and is back") {
-  // It has seen no token, so it obeys one that was replaced.
+TEST_CASE("run_claims: a late start on a restarted upstream is stopped") {
+  // A restarted upstream has seen no fencing token, so it accepts an outdated
+  // one.
   claims_fixture f;
   f.At("u1").birth = upstream_birth(1'700'000'000'000);
   f.fleet.registry.at(upstream_id("u1")).birth = f.At("u1").birth;
@@ -96,9 +99,9 @@
   CHECK(f.Running() == 0);
 }
 
-TEST_CASE("run_claims: a run of a task that runs elsewhere") {
-  // It is stopped at once, also while jobs' owners may still come with claims,
-  // and the other one goes on.
+TEST_CASE("run_claims: a second run of a task that runs elsewhere is stopped") {
+  // The second run is stopped at once, even while job owners may still claim
+  // runs, and the first one goes on.
   claims_fixture f;
   REQUIRE(f.StartAt("u1", 1).result == start_result::kStarted);
   f.Begin();
@@ -106,14 +109,14 @@
   f.clock.Advance(milliseconds(50));
   REQUIRE(f.At("u1").running.size() == 1);
   REQUIRE(f.StartAt("u2", 2).result == start_result::kStarted);
-  // Its hold is back by then.
+  // The reply to the hold of "u2" has arrived by then.
   f.clock.Advance(milliseconds(2200));
   CHECK(f.At("u2").running.empty());
   CHECK(f.At("u1").running.size() == 1);
 }
 
-TEST_CASE("run_claims: a task that was started on two upstreams") {
-  // One run is claimed. The other one must be stopped at once.
+TEST_CASE("run_claims: of two runs of a task one is claimed and one stopped") {
+  // The unclaimed run must be stopped at once.
   claims_fixture f;
   REQUIRE(f.StartAt("u1", 1).result == start_result::kStarted);
   REQUIRE(f.StartAt("u2", 1).result == start_result::kStarted);
@@ -132,9 +135,9 @@
 }
 
 TEST_CASE(
-    "run_claims: a task does not start beside a run that nobody claimed") {
-  // It ran on two upstreams; the run that was claimed fails, and the orders to
-  // stop the other one are lost.
+    "run_claims: a task does not start while an unclaimed run of it exists") {
+  // The task runs on two upstreams; the claimed run fails, and the requests to
+  // stop the other run are lost.
   claims_fixture f;
   f.fleet.Add("u3", "north");
   f.At("u1").plan = [](const task_name&) {
@@ -151,12 +154,13 @@
   CHECK(f.Starts() == 2);
   stops_arrive = true;
   f.clock.Advance(milliseconds(300));
-  // Anywhere, also where it has just ended.
+  // The task may start on any upstream, also on the one where it has just
+  // ended.
   CHECK(f.Running() == 1);
   CHECK(f.Starts() == 3);
 }
 
-TEST_CASE("run_claims: what nobody claims is stopped") {
+TEST_CASE("run_claims: an unclaimed run is stopped after the claim period") {
   claims_fixture f;
   REQUIRE(f.StartAt("u1", 1).result == start_result::kStarted);
   f.Begin();
