--- a/src/runs/crash_record.h
+++ b/src/runs/crash_record.h
@@ -114,7 +114,7 @@
   };
 
   struct entry {
-    // In the order of recording; bounded, never empty.
+    // Ordered by time; bounded, never empty.
     std::vector<loss> losses;
     // The other instances know all losses.
     bool told = false;
--- a/src/runs/stuck_runs.h
+++ b/src/runs/stuck_runs.h
@@ -70,7 +70,7 @@
 // Listed progress takes precedence over expected run times: a run that advances
 // is not stuck, however long it takes, and one that makes no progress is stuck,
 // however short its time so far.
-run_judgement JudgeRun(const run_observation& sight);
+run_judgement JudgeRun(const run_observation& run);
 
 // Ranks a job's answer by its time: 0 within the objective, 1 late but still
 // useful, 2 too late to be of use.
@@ -81,13 +81,11 @@
 // until the caller leaves, but stopping a healthy run wastes work and makes its
 // job later than waiting would. A run is therefore stopped only where starting
 // it again improves the job's answer:
-//  - it makes no progress;
-//  - it takes far longer than healthy runs, and its upstream, though asked,
-//  lists no
-//    progress;
-//  - its upstream is known to be slow, and the predicted end ranks worse than
-//  the
-//    expected end of a new run.
+// - it makes no progress;
+// - it takes far longer than healthy runs, and its upstream, though asked, lists
+//   no progress;
+// - its upstream is known to be slow, and the predicted end ranks worse than the
+//   expected end of a new run.
 class stuck_runs {
  public:
   using counts = std::map<stuck_evidence, uint64_t>;
