--- a/src/runs/stuck_runs.h
+++ b/src/runs/stuck_runs.h
@@ -80,12 +80,10 @@
 // when upstreams differ in speed and tasks in length. A hung run blocks its job
 // until the caller leaves, but stopping a healthy run wastes work and makes its
 // job later than waiting would. A run is therefore stopped only where starting
-// it again improves the job's answer:
-// - it makes no progress;
-// - it takes far longer than healthy runs, and its upstream, though asked, lists
-//   no progress;
-// - its upstream is known to be slow, and the predicted end ranks worse than the
-//   expected end of a new run.
+// it again improves the job's answer: it makes no progress; or it takes far
+// longer than healthy runs, and its upstream, though asked, lists no progress;
+// or its upstream is known to be slow, and the predicted end ranks worse than
+// the expected end of a new run.
 class stuck_runs {
  public:
   using counts = std::map<stuck_evidence, uint64_t>;
