--- a/src/runs/upstream_clock.h
+++ b/src/runs/upstream_clock.h
@@ -1,4 +1,4 @@
-// What is known of an upstream's own steady clock, from its answers.
+// Estimates the reading of an upstream's steady clock from its replies.
 
 #ifndef SRC_RUNS_UPSTREAM_CLOCK_H_
 #define SRC_RUNS_UPSTREAM_CLOCK_H_
@@ -8,42 +8,47 @@
 
 namespace jasminedyke {
 
-// By its clock's reading, an upstream is beyond `limit` by so much that what
-// ends then is over.
+// Returns whether `limit` is past, by a safety margin, on an upstream's clock
+// that shows `reading`.
 bool IsOverAt(upstream_time reading, upstream_time limit);
 
-// Leases and time limits of orders are times on the upstream's clock, which is
-// read only in answers that were some time on their way. Bounds on both sides:
-// what counts as over must use the earliest, what is given the latest.
+// Bounds the current reading of an upstream's steady clock. Leases and the time
+// limits of orders are times on that clock, but its readings arrive only in
+// replies, which take an unknown time to travel. Expiry must be checked against
+// the lower bound; new leases and limits must be computed from the upper bound.
 class upstream_clock {
  public:
   explicit upstream_clock(const scheduler& clock) : clock_(clock) {}
 
-  // An answer to a call that was made at `asked` showed `reading`. Older
-  // readings than the newest change nothing, as answers may overtake each
-  // other.
-  void Take(upstream_time reading, time_point asked);
+  // Records the clock `reading` in the reply to a call sent at `sent_at`.
+  // Readings lower than the last one are ignored, as replies may arrive out of
+  // order.
+  void AddReading(upstream_time reading, time_point sent_at);
 
   bool known() const { return known_; }
-  // A reading came after `when`.
-  bool HeardSince(time_point when) const { return known_ && heard_ > when; }
+  // Returns whether a reading was received after `time`.
+  bool HasReadingSince(time_point time) const {
+    return known_ && received_at_ > time;
+  }
 
-  // `reading` is of another clock: one asked later can't show less.
-  bool IsRestarted(upstream_time reading, time_point asked) const {
-    return known_ && asked >= heard_ && reading < reading_;
+  // Returns whether `reading`, from the reply to a call sent at `sent_at`,
+  // shows that the clock was restarted: it is lower than a reading that was
+  // received before the call was sent.
+  bool IsRestarted(upstream_time reading, time_point sent_at) const {
+    return known_ && sent_at >= received_at_ && reading < last_reading_;
   }
 
-  // Certainly not ahead of, and certainly not behind, the upstream's clock.
-  // Only if `known()`.
-  upstream_time Earliest() const;
-  upstream_time Latest() const;
+  // Bounds of the clock's current reading. Must be called only if `known()`.
+  upstream_time LowerBound() const;
+  upstream_time UpperBound() const;
 
  private:
   const scheduler& clock_;
-  // The upstream's clock was `reading_` at some moment between the two.
-  upstream_time reading_;
-  time_point asked_;
-  time_point heard_;
+  // The upstream's clock showed `last_reading_` at some moment between
+  // `sent_at_` and `received_at_`.
+  upstream_time last_reading_;
+  time_point sent_at_;
+  time_point received_at_;
   bool known_ = false;
 };
 
--- a/src/runs/upstream_life.cc
+++ b/src/runs/upstream_life.cc
@@ -84,7 +84,7 @@
 }
 
 bool upstream_life::Answers() const {
-  return clock.HeardSince(scheduler_.now() - kProlongUnanswered);
+  return clock.HasReadingSince(scheduler_.now() - kProlongUnanswered);
 }
 
 bool upstream_life::LosesAnswers() const {
@@ -92,7 +92,7 @@
 }
 
 bool upstream_life::LeaseIsOver() const {
-  return !clock.known() || IsOverAt(clock.Earliest(), lease_end);
+  return !clock.known() || IsOverAt(clock.LowerBound(), lease_end);
 }
 
 void upstream_life::NoteForeignLease(upstream_time given,
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -147,13 +147,13 @@
   order.spec = spec;
   order.token = token_;
   order.delegate = delegate;
-  order.not_after = life_->clock.Latest();
+  order.not_after = life_->clock.UpperBound();
   order.not_after.ms += WholeMilliseconds(kStartLimit);
   run_record record;
   record.run = run;
   record.need = need;
   record.since = clock_.now();
-  record.ordered = life_->clock.Earliest();
+  record.ordered = life_->clock.LowerBound();
   record.not_after = order.not_after;
   life_->runs.Put(task, record);
   NoteLease(order.not_after);
@@ -177,7 +177,7 @@
                                  time_point sent,
                                  const start_reply& reply) {
   if (reply.clock) {
-    life_->clock.Take(*reply.clock, sent);
+    life_->clock.AddReading(*reply.clock, sent);
     times_.Note(clock_.now() - sent);
     life_->in_doubt = false;
   }
@@ -287,7 +287,7 @@
   if (in_doubt.empty())
     return;
   for (const task_name& task : in_doubt) {
-    if (!life_->clock.HeardSince(life_->runs.Find(task)->since))
+    if (!life_->clock.HasReadingSince(life_->runs.Find(task)->since))
       life_->in_doubt = true;
   }
   NoteUnanswered();
@@ -328,7 +328,7 @@
   order.patience = times_.Patience(kAnswerPatience);
   if (life_->settled && life_->clock.known() && !life_->runs.HasFound() &&
       !life_->runs.empty() && (life_->Answers() || life_->failed_holds == 0)) {
-    order.lease_until = life_->clock.Latest();
+    order.lease_until = life_->clock.UpperBound();
     order.lease_until->ms += WholeMilliseconds(limits_.longest_lease);
     NoteLease(*order.lease_until);
   }
@@ -425,7 +425,7 @@
 void upstream_session::OnLookFailed(time_point sent) {
   NoteUnanswered();
   life_->unanswered = true;
-  if (!life_->clock.HeardSince(sent))
+  if (!life_->clock.HasReadingSince(sent))
     ++life_->failed_holds;
   life_->look_timer.StartAfter(RetryPause(), [this] { SendLook(); });
   CheckLapse();
@@ -440,7 +440,7 @@
   if (life_->runs.empty() || life_->failed_holds > 0)
     return;
   duration left = std::chrono::milliseconds(life_->given_until.ms -
-                                            life_->clock.Latest().ms);
+                                            life_->clock.UpperBound().ms);
   duration pause = std::max(duration::zero(), left - kLeaseMargin);
   // A lost one would hide ends for its whole wait.
   if (life_->hold.in_flight && life_->hold.idle)
@@ -478,7 +478,7 @@
   life_->unanswered = false;
   life_->in_doubt = false;
   life_->lapse_timer.Stop();
-  life_->clock.Take(reply.clock, sent);
+  life_->clock.AddReading(reply.clock, sent);
   TellFoundAgain(false);
   TakeEnds(reply);
   TakeRunning(reply);
@@ -515,7 +515,7 @@
   life_->unanswered = true;
   // A single lost answer does not take an upstream out of use that answers
   // other calls.
-  if (life_->clock.HeardSince(sent)) {
+  if (life_->clock.HasReadingSince(sent)) {
     NextHold(hold, false);
     return;
   }
--- a/tests/upstream_clock/upstream_clock_test.cc
+++ b/tests/upstream_clock/upstream_clock_test.cc
@@ -1,4 +1,4 @@
-// Bounds on an upstream's clock between its answers.
+// Tests of the bounds of an upstream's clock between its replies.
 
 #include <doctest/doctest.h>
 
@@ -12,27 +12,28 @@
   manual_scheduler clock;
   upstream_clock upstream(clock);
   CHECK(!upstream.known());
-  time_point asked = clock.now();
+  time_point sent_at = clock.now();
   clock.Advance(milliseconds(10));
-  upstream.Take({5000}, asked);
+  upstream.AddReading({5000}, sent_at);
   REQUIRE(upstream.known());
-  // It showed 5000 at some moment of the last 10 ms.
-  CHECK(upstream.Earliest().ms == 5000);
-  CHECK(upstream.Latest().ms == 5011);
+  // The clock showed 5000 at some moment of the last 10 ms.
+  CHECK(upstream.LowerBound().ms == 5000);
+  CHECK(upstream.UpperBound().ms == 5011);
   clock.Advance(milliseconds(1000));
-  // Slow by 2 %, asked for at the end; exact, asked for at the beginning.
-  CHECK(upstream.Earliest().ms == 5980);
-  CHECK(upstream.Latest().ms == 6011);
+  // Lower bound: a clock 2 % slow that was read as the reply arrived. Upper
+  // bound: an exact clock that was read as the call was sent.
+  CHECK(upstream.LowerBound().ms == 5980);
+  CHECK(upstream.UpperBound().ms == 6011);
 }
 
-TEST_CASE("upstream_clock: an answer that was overtaken moves nothing back") {
+TEST_CASE("upstream_clock: a reply that arrives out of order is ignored") {
   manual_scheduler clock;
   upstream_clock upstream(clock);
-  upstream.Take({5000}, clock.now());
+  upstream.AddReading({5000}, clock.now());
   clock.Advance(milliseconds(20));
-  upstream.Take({4990}, clock.now());
-  CHECK(upstream.Latest().ms == 5021);
-  CHECK(!upstream.HeardSince(clock.now() - milliseconds(1)));
+  upstream.AddReading({4990}, clock.now());
+  CHECK(upstream.UpperBound().ms == 5021);
+  CHECK(!upstream.HasReadingSince(clock.now() - milliseconds(1)));
 }
 
 }  // namespace jasminedyke
