--- a/src/runs/upstream_clock.cc
+++ b/src/runs/upstream_clock.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-bool IsOverAt(upstream_time reading, upstream_time limit) {
+bool IsPast(upstream_time reading, upstream_time limit) {
   return reading.ms > limit.ms + kDeadlineMarginMs;
 }
 
--- a/src/runs/upstream_clock.h
+++ b/src/runs/upstream_clock.h
@@ -10,7 +10,7 @@
 
 // Returns whether `limit` is past, by a safety margin, on an upstream's clock
 // that shows `reading`.
-bool IsOverAt(upstream_time reading, upstream_time limit);
+bool IsPast(upstream_time reading, upstream_time limit);
 
 // Bounds the current reading of an upstream's steady clock. Leases and the time
 // limits of orders are times on that clock, but its readings arrive only in
--- a/src/runs/upstream_life.cc
+++ b/src/runs/upstream_life.cc
@@ -92,7 +92,7 @@
 }
 
 bool upstream_life::LeaseIsOver() const {
-  return !clock.known() || IsOverAt(clock.LowerBound(), lease_end);
+  return !clock.known() || IsPast(clock.LowerBound(), lease_end);
 }
 
 void upstream_life::NoteForeignLease(upstream_time given,
--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -14,7 +14,7 @@
   if (!record.IsUnclear())
     return record.since < sent;
   bool refused = record.refused_since && sent >= *record.refused_since;
-  bool too_late = !record.carried && IsOverAt(reply.clock, record.not_after);
+  bool too_late = !record.carried && IsPast(reply.clock, record.not_after);
   return refused || too_late;
 }
 
