--- a/src/runs/upstream_port.h
+++ b/src/runs/upstream_port.h
@@ -1,5 +1,5 @@
-// What the owner of an upstream can ask of it. The adapter to a platform
-// implements it; tests use fakes.
+// Interface for the calls that the owner of an upstream makes to it. The
+// platform adapter implements it; tests use fakes.
 
 #ifndef SRC_RUNS_UPSTREAM_PORT_H_
 #define SRC_RUNS_UPSTREAM_PORT_H_
@@ -14,8 +14,8 @@
 
 namespace jasminedyke {
 
-// Who sends a start in the home's place: the owner of that submission of the
-// job, which keeps its specification.
+// The instance that sends a start on behalf of the home: the owner of the job's
+// submission, which stores the job's specification.
 struct start_delegate {
   instance_id owner;
   submission_id submission;
@@ -23,16 +23,17 @@
   bool operator==(const start_delegate&) const = default;
 };
 
+// An order to start a run.
 struct run_order {
   task_name task;
   run_number run;
   std::string spec;
   fencing_token token;
-  // The upstream refuses the order after this time, so an order that was
-  // held up on the way can't start anything late.
+  // The upstream refuses the order after this time, so that an order delayed
+  // in the network can't start a run late.
   upstream_time not_after;
-  // Where the upstream listens, for an instance that does not know it: one of
-  // another failure domain. Else empty.
+  // The upstream's address, set only for an instance of another failure domain,
+  // which does not have it in its registry.
   std::string address = {};
   std::optional<start_delegate> delegate = std::nullopt;
 
@@ -40,17 +41,17 @@
 };
 
 enum class start_result {
-  kStarted,      // now, or it was running there already
-  kFenced,       // the upstream has a newer owner
-  kOldRun,       // that run number was used
-  kLate,         // the order's time was over
-  kNoRoom,       // the task does not fit beside what runs there
-  kUnwell,       // the upstream refuses work for now
-  kGone,         // another incarnation answered
-  kNotAccepted,  // the order itself is wrong
-  kNotSent,      // no byte of the order left
-  kOwnerGone,    // the job's owner was to send it, and did not
-  kUnknown,      // it may have started, or may start before its time is over
+  kStarted,      // started now, or was already running there
+  kFenced,       // the upstream has seen a newer owner's token
+  kOldRun,       // the run number has already been used
+  kLate,         // the order arrived after its time limit
+  kNoRoom,       // the upstream's free capacity is too small
+  kUnwell,       // the upstream temporarily refuses work
+  kGone,         // another incarnation replied
+  kNotAccepted,  // the order is invalid
+  kNotSent,      // no byte of the order was sent
+  kOwnerGone,    // the job's owner did not send the delegated order
+  kUnknown,      // may have started, or may yet start within its time limit
 };
 
 const char* ToString(start_result result);
@@ -67,12 +68,12 @@
   kFenced,
   kGone,
   kNotSent,
-  kUnknown,  // no answer, or one that made no sense
+  kUnknown,  // no reply, or an invalid one
 };
 
-// How long the answer to a call may take that upstreams answer at once, before
-// the call counts as unanswered: many times what answers take. After a pause of
-// our own process what has arrived is read before timers are looked at.
+// Timeout of calls that upstreams answer immediately: many times the usual
+// round trip. A pause of this process does not cause timeouts, because replies
+// that have arrived are read before expired timers are handled.
 constexpr duration kAnswerPatience = std::chrono::milliseconds(80);
 
 struct stop_order {
@@ -82,32 +83,33 @@
   duration patience = kAnswerPatience;
 };
 
-// Prolongs what runs on the upstream, acknowledges ends and asks for both
-// lists.
+// Extends the lease of the runs on the upstream, acknowledges ends, and
+// requests the lists of running and ended runs.
 struct hold_order {
   fencing_token token;
-  // The upstream forgets ends up to this one.
+  // The upstream removes ends up to this sequence number from its list.
   uint64_t acknowledged = 0;
-  // Nothing: only look.
+  // Empty if the call must not extend the lease.
   std::optional<upstream_time> lease_until;
-  // The answer waits for an end for so long.
+  // How long the upstream may wait for an end before it replies.
   duration wait = duration::zero();
-  // Beyond `wait`.
+  // Counted from the end of `wait`.
   duration patience = kAnswerPatience;
 };
 
 struct hold_reply {
   call_result result = call_result::kUnknown;
-  // The rest only if `kOk`.
+  // The other fields are set only if the result is `kOk`.
   upstream_time clock;
   std::vector<listed_run> running;
   std::vector<listed_end> ended;
-  // Of the incarnation that answers; nothing if it does not tell.
+  // The replying incarnation's birth; empty if the reply does not contain it.
   std::optional<upstream_birth> birth = std::nullopt;
 };
 
-// Calls to upstreams by id. Each callback comes once, never from within the
-// call, unless the upstream was dropped meanwhile: then not at all.
+// Sends calls to upstreams by id. Each callback is invoked exactly once, and
+// never from within the call, unless `Drop` is called before: then it is not
+// invoked at all.
 class upstream_port {
  public:
   using start_callback = std::function<void(const start_reply&)>;
@@ -125,7 +127,7 @@
   virtual void Hold(const upstream_id& upstream,
                     const hold_order& order,
                     hold_callback done) = 0;
-  // Closes the connections to an upstream that is no longer owned.
+  // Closes the connections to the upstream and discards pending callbacks.
   virtual void Drop(const upstream_id& upstream) = 0;
 };
 
--- a/src/runs/upstream_registry.h
+++ b/src/runs/upstream_registry.h
@@ -1,4 +1,4 @@
-// The upstreams of all services, as they register themselves.
+// Registry of the upstreams of all services, and its changes.
 
 #ifndef SRC_RUNS_UPSTREAM_REGISTRY_H_
 #define SRC_RUNS_UPSTREAM_REGISTRY_H_
@@ -13,18 +13,19 @@
 
 namespace jasminedyke {
 
+// What an upstream states about itself when it registers.
 struct upstream_info {
   upstream_id id;
-  // Where it takes orders: "IP:PORT". May be used again by a later upstream.
+  // "IP:PORT" at which it accepts orders. A later upstream may reuse it.
   std::string address;
   service_id service;
   failure_domain_id failure_domain;
   rack_id rack;
   std::set<std::string> labels;
   resource_amount capacity;
-  // Runs end soon; it must get nothing new.
+  // Its present runs end soon; it must not be given new ones.
   bool draining = false;
-  // Of the incarnation that registered.
+  // Birth of the incarnation that registered.
   upstream_birth birth = upstream_birth();
 
   bool operator==(const upstream_info&) const = default;
@@ -32,10 +33,11 @@
 
 using upstream_registry = std::map<upstream_id, upstream_info>;
 
-// What a home tells the other entry instances of its failure domain, so that
-// one of them can take over while the store is away.
+// Changes of the registry that a home sends to the other entry instances of its
+// failure domain, so that one of them can take over while the store is
+// unavailable.
 struct upstream_news {
-  // `rows` is all that there is.
+  // `rows` is the whole registry and replaces the previous one.
   bool full = false;
   std::vector<upstream_info> rows;
   std::vector<upstream_id> gone;
@@ -44,10 +46,12 @@
   bool operator==(const upstream_news&) const = default;
 };
 
-// What changed from `before` to `after`.
+// Returns the changes that turn `before` into `after`.
 upstream_news Difference(const upstream_registry& before,
                          const upstream_registry& after);
+// Returns news that contain the whole registry.
 upstream_news FullNews(const upstream_registry& registry);
+// Updates `registry` with the changes in `news`.
 void Apply(const upstream_news& news, upstream_registry* registry);
 
 }  // namespace jasminedyke
