--- a/src/runs/upstream_port.h
+++ b/src/runs/upstream_port.h
@@ -80,7 +80,7 @@
   task_name task;
   run_number run;
   fencing_token token;
-  duration patience = kAnswerPatience;
+  duration reply_timeout = kAnswerPatience;
 };
 
 // Extends the lease of the runs on the upstream, acknowledges ends, and
@@ -94,7 +94,7 @@
   // How long the upstream may wait for an end before it replies.
   duration wait = duration::zero();
   // Counted from the end of `wait`.
-  duration patience = kAnswerPatience;
+  duration reply_timeout = kAnswerPatience;
 };
 
 struct hold_reply {
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -325,7 +325,7 @@
   order.token = token_;
   // The next incarnation must not forget ends of its own by our number.
   order.acknowledged = life_->MayBeOver() ? 0 : life_->acknowledged;
-  order.patience = times_.Patience(kAnswerPatience);
+  order.reply_timeout = times_.Patience(kAnswerPatience);
   if (life_->settled && life_->clock.known() && !life_->runs.HasFound() &&
       !life_->runs.empty() && (life_->Answers() || life_->failed_holds == 0)) {
     order.lease_until = life_->clock.UpperBound();
--- a/tests/fakes/fake_upstreams.cc
+++ b/tests/fakes/fake_upstreams.cc
@@ -224,7 +224,7 @@
                               stop_callback done) {
   call_fate fate = lose_stops() ? call_fate::kRequestLost : Fate(id);
   Call<call_result>(
-      id, fate, order.patience,
+      id, fate, order.reply_timeout,
       [order](fake_upstream& u) { return u.Stop(order); },
       call_result::kUnknown, std::move(done));
 }
@@ -235,7 +235,7 @@
   time_point until = fleet_.clock.now() + order.wait;
   uint64_t generation = generations_[id];
   Call<hold_reply>(
-      id, Fate(id), order.wait + order.patience,
+      id, Fate(id), order.wait + order.reply_timeout,
       [order](fake_upstream& u) { return u.Hold(order); },
       hold_reply{call_result::kUnknown, {}, {}, {}},
       [this, id, order, until, generation, done](const hold_reply& reply) {
@@ -257,38 +257,38 @@
     uint64_t generation,
     int life,
     const std::function<void(const hold_reply&)>& done) {
-  fleet_.clock.CallAfter(
-      kLook, [this, id, order, until, generation, life, done] {
-        if (dead_ || generations_[id] != generation)
-          return;
-        // Its connection broke.
-        if (fleet_.upstreams.at(id)->lives != life) {
+  fleet_.clock.CallAfter(kLook, [this, id, order, until, generation, life,
+                                 done] {
+    if (dead_ || generations_[id] != generation)
+      return;
+    // Its connection broke.
+    if (fleet_.upstreams.at(id)->lives != life) {
+      done(hold_reply());
+      return;
+    }
+    hold_order look = order;
+    look.lease_until.reset();
+    hold_reply reply = fleet_.upstreams.at(id)->Hold(look);
+    bool over = reply.result != call_result::kOk || !reply.ended.empty() ||
+                fleet_.clock.now() >= until;
+    if (!over) {
+      WaitForEnd(id, order, until, generation, life, done);
+      return;
+    }
+    // A link that was cut meanwhile carries no answer either.
+    bool arrives = Fate(id) == call_fate::kAnswered;
+    if (arrives)
+      fleet_.clock.CallAfter(fleet_.detour(),
+                             [this, id, generation, done, reply] {
+                               if (!dead_ && generations_[id] == generation)
+                                 done(reply);
+                             });
+    else
+      fleet_.clock.CallAfter(order.reply_timeout, [this, id, generation, done] {
+        if (!dead_ && generations_[id] == generation)
           done(hold_reply());
-          return;
-        }
-        hold_order look = order;
-        look.lease_until.reset();
-        hold_reply reply = fleet_.upstreams.at(id)->Hold(look);
-        bool over = reply.result != call_result::kOk || !reply.ended.empty() ||
-                    fleet_.clock.now() >= until;
-        if (!over) {
-          WaitForEnd(id, order, until, generation, life, done);
-          return;
-        }
-        // A link that was cut meanwhile carries no answer either.
-        bool arrives = Fate(id) == call_fate::kAnswered;
-        if (arrives)
-          fleet_.clock.CallAfter(fleet_.detour(),
-                                 [this, id, generation, done, reply] {
-                                   if (!dead_ && generations_[id] == generation)
-                                     done(reply);
-                                 });
-        else
-          fleet_.clock.CallAfter(order.patience, [this, id, generation, done] {
-            if (!dead_ && generations_[id] == generation)
-              done(hold_reply());
-          });
       });
+  });
 }
 
 }  // namespace jasminedyke
