--- a/src/runs/upstream_port.h
+++ b/src/runs/upstream_port.h
@@ -74,13 +74,13 @@
 // Timeout of calls that upstreams answer immediately: many times the usual
 // round trip. A pause of this process does not cause timeouts, because replies
 // that have arrived are read before expired timers are handled.
-constexpr duration kAnswerPatience = std::chrono::milliseconds(80);
+constexpr duration kReplyTimeout = std::chrono::milliseconds(80);
 
 struct stop_order {
   task_name task;
   run_number run;
   fencing_token token;
-  duration reply_timeout = kAnswerPatience;
+  duration reply_timeout = kReplyTimeout;
 };
 
 // Extends the lease of the runs on the upstream, acknowledges ends, and
@@ -94,7 +94,7 @@
   // How long the upstream may wait for an end before it replies.
   duration wait = duration::zero();
   // Counted from the end of `wait`.
-  duration reply_timeout = kAnswerPatience;
+  duration reply_timeout = kReplyTimeout;
 };
 
 struct hold_reply {
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -250,7 +250,7 @@
     return;
   record.stop_in_flight = true;
   port_.Stop(info_.id,
-             {task, record.run, token_, times_.Patience(kAnswerPatience)},
+             {task, record.run, token_, times_.Patience(kReplyTimeout)},
              [this, task, run = record.run, life = lives_](call_result result) {
                if (life != lives_)
                  return;
@@ -325,7 +325,7 @@
   order.token = token_;
   // The next incarnation must not forget ends of its own by our number.
   order.acknowledged = life_->MayBeOver() ? 0 : life_->acknowledged;
-  order.reply_timeout = times_.Patience(kAnswerPatience);
+  order.reply_timeout = times_.Patience(kReplyTimeout);
   if (life_->settled && life_->clock.known() && !life_->runs.HasFound() &&
       !life_->runs.empty() && (life_->Answers() || life_->failed_holds == 0)) {
     order.lease_until = life_->clock.UpperBound();
