--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -437,7 +437,7 @@
   claims_.OnFound(session, name, task != nullptr);
 }
 
-void run_home::OnRoom(upstream_session&) {
+void run_home::OnCapacityChanged(upstream_session&) {
   QueueUnclear();
   ScheduleDispatch();
 }
--- a/src/runs/run_home.h
+++ b/src/runs/run_home.h
@@ -128,7 +128,7 @@
   void OnFound(upstream_session& session,
                const task_name& task,
                run_number run) override;
-  void OnRoom(upstream_session& session) override;
+  void OnCapacityChanged(upstream_session& session) override;
   void OnFenced(upstream_session& session) override;
 
   home_task* FindTask(const task_name& task, home_job** job);
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -315,7 +315,7 @@
     return;
   life_->runs.Adopt(*found, need);
   if (!life_->runs.HasFound())
-    owner_.OnRoom(*this);
+    owner_.OnCapacityChanged(*this);
 }
 
 // While runs of an earlier owner are unclaimed, theirs must be allowed to
@@ -485,7 +485,7 @@
   JudgeUnlisted(sent, reply);
   RefuseUnlistedStarts(sent, reply);
   if (!reply.ended.empty() || !was_usable)
-    owner_.OnRoom(*this);
+    owner_.OnCapacityChanged(*this);
 }
 
 void upstream_session::NextHold(waiting_hold& hold, bool any_end) {
@@ -540,7 +540,7 @@
 
 void upstream_session::SettleWithoutAnswer() {
   life_->settled = true;
-  owner_.OnRoom(*this);
+  owner_.OnCapacityChanged(*this);
 }
 
 void upstream_session::EndAll(run_end how) {
--- a/src/runs/upstream_session.h
+++ b/src/runs/upstream_session.h
@@ -73,7 +73,7 @@
                          const task_name& task,
                          run_number run) = 0;
     // Room may have changed, or the session became usable.
-    virtual void OnRoom(upstream_session& session) = 0;
+    virtual void OnCapacityChanged(upstream_session& session) = 0;
     // The upstream has seen a higher token than ours.
     virtual void OnFenced(upstream_session& session) = 0;
   };
--- a/tests/fakes/session_fixture.h
+++ b/tests/fakes/session_fixture.h
@@ -52,7 +52,7 @@
     if (adopt)
       session.Adopt(task, {10'000, 0, 0});
   }
-  void OnRoom(upstream_session&) override {}
+  void OnCapacityChanged(upstream_session&) override {}
   void OnFenced(upstream_session&) override { ++fenced; }
 
   std::vector<std::pair<task_name, run_end>> ends;
