--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -270,7 +270,7 @@
     return;
   task->last_run = std::max(task->last_run, run.value());
   job->ran = true;
-  task->answers_lost = session.UnansweredSince(task->ordered_at);
+  task->answers_lost = session.HasUnansweredCallSince(task->ordered_at);
   if (ordered_here)
     NoteEnd(*job, *task, how);
   if (how != run_end::kDone && !task->stopping) {
--- a/src/runs/upstream_session.h
+++ b/src/runs/upstream_session.h
@@ -118,7 +118,7 @@
   bool idle() const { return life_->runs.empty(); }
   bool gone() const { return life_->gone; }
   // Of the present incarnation.
-  bool UnansweredSince(time_point since) const {
+  bool HasUnansweredCallSince(time_point since) const {
     return life_->last_unanswered && *life_->last_unanswered >= since;
   }
   // Nothing if it was not listed yet, or without its progress.
