--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -127,7 +127,7 @@
   if (judgement.ask) {
     if (task.asked_at < task.ordered_at)
       task.asked_at = clock_.now();
-    session->Look();
+    session->Poll();
   }
   switch (judgement.state) {
     case run_condition::kSound:
--- a/src/runs/upstream_session.h
+++ b/src/runs/upstream_session.h
@@ -124,7 +124,7 @@
   // Nothing if it was not listed yet, or without its progress.
   std::optional<run_progress> Progress(const task_name& task) const;
   // Asks for the lists at once.
-  void Look() { SendLook(); }
+  void Poll() { SendLook(); }
 
  private:
   void TakeRegisteredBirth();
