--- a/src/runs/upstream_life.cc
+++ b/src/runs/incarnation_state.cc
@@ -1,4 +1,4 @@
-#include "runs/upstream_life.h"
+#include "runs/incarnation_state.h"
 
 #include <algorithm>
 
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-upstream_life::upstream_life(scheduler& scheduler, upstream_birth born)
+incarnation_state::incarnation_state(scheduler& scheduler, upstream_birth born)
     : birth(born),
       refused_until(scheduler.now()),
       clock(scheduler),
@@ -34,10 +34,10 @@
       lapse_timer(scheduler),
       scheduler_(scheduler) {}
 
-upstream_life::upstream_life(scheduler& scheduler,
-                             upstream_birth born,
-                             const upstream_life& before)
-    : upstream_life(scheduler, born) {
+incarnation_state::incarnation_state(scheduler& scheduler,
+                                     upstream_birth born,
+                                     const incarnation_state& before)
+    : incarnation_state(scheduler, born) {
   follows = true;
   settled = before.settled;
   runs = before.runs.Carried();
@@ -45,9 +45,9 @@
 
 // An answer to a call that was made in the present life comes from this one or
 // from a later one, whichever birth it tells.
-answer_of upstream_life::WhoAnswers(const upstream_id& id,
-                                    time_point sent,
-                                    const hold_reply& reply) {
+answer_of incarnation_state::WhoAnswers(const upstream_id& id,
+                                        time_point sent,
+                                        const hold_reply& reply) {
   if (!reply.birth) {
     if (!birth_answered)
       return answer_of::kPresent;
@@ -67,9 +67,9 @@
   return answer_of::kNext;
 }
 
-void upstream_life::LogBirth(const upstream_id& id,
-                             const char* event,
-                             upstream_birth told) const {
+void incarnation_state::LogBirth(const upstream_id& id,
+                                 const char* event,
+                                 upstream_birth told) const {
   LogEvent(log_level::kInfo, event,
            {{"upstream", id.str()},
             {"birth", birth.value()},
@@ -77,31 +77,31 @@
 }
 
 // One that does not take orders must not be offered each task in turn.
-void upstream_life::Suspect() {
+void incarnation_state::Suspect() {
   refusal_pause =
       std::clamp(refusal_pause * 2, kFirstRefusalPause, kLongestRefusalPause);
   refused_until = scheduler_.now() + refusal_pause;
 }
 
-bool upstream_life::Answers() const {
+bool incarnation_state::Answers() const {
   return clock.HasReadingSince(scheduler_.now() - kProlongUnanswered);
 }
 
-bool upstream_life::LosesAnswers() const {
+bool incarnation_state::LosesAnswers() const {
   return last_unanswered && scheduler_.now() - *last_unanswered < kLossMemory;
 }
 
-bool upstream_life::LeaseIsOver() const {
+bool incarnation_state::LeaseIsOver() const {
   return !clock.known() || IsPast(clock.LowerBound(), lease_end);
 }
 
-void upstream_life::NoteForeignLease(upstream_time given,
-                                     const lease_limits& bounds) {
+void incarnation_state::NoteForeignLease(upstream_time given,
+                                         const lease_limits& bounds) {
   lease_end =
       std::max(lease_end, {given.ms + WholeMilliseconds(bounds.longest_lease)});
 }
 
-std::vector<listed_end> upstream_life::TakeEnds(const hold_reply& reply) {
+std::vector<listed_end> incarnation_state::TakeEnds(const hold_reply& reply) {
   std::vector<listed_end> ends;
   for (const listed_end& end : reply.ended) {
     // Two calls may bring the same end.
@@ -121,14 +121,15 @@
 
 // Replies may overtake each other: this one may have been written before the
 // end that another one brought, and the run would look like a stranger's.
-bool upstream_life::IsStale(const hold_reply& reply) const {
+bool incarnation_state::IsStale(const hold_reply& reply) const {
   uint64_t last_end = reply.ended.empty() ? 0 : reply.ended.back().sequence;
   return reply.clock < newest_ends ||
          (reply.clock == newest_ends && last_end < acknowledged);
 }
 
-std::vector<listed_run> upstream_life::TakeRunning(const hold_reply& reply,
-                                                   const lease_limits& bounds) {
+std::vector<listed_run> incarnation_state::TakeRunning(
+    const hold_reply& reply,
+    const lease_limits& bounds) {
   std::vector<listed_run> strangers;
   for (const listed_run& listed : reply.running) {
     run_record* known = runs.Find(listed.task);
@@ -149,14 +150,14 @@
   return strangers;
 }
 
-bool upstream_life::MayBeginLater(const run_record& record,
-                                  time_point now) const {
+bool incarnation_state::MayBeginLater(const run_record& record,
+                                      time_point now) const {
   return birth != upstream_birth() && !gone &&
          (record.IsUnclear() || record.carried) &&
          now - record.since < kLongestOnTheWay;
 }
 
-std::vector<run_over> upstream_life::TakeAllOver(time_point now) {
+std::vector<run_over> incarnation_state::TakeAllOver(time_point now) {
   std::vector<run_over> over;
   for (const auto& [task, record] : runs.all()) {
     if (!MayBeginLater(record, now))
--- a/src/runs/upstream_life.h
+++ b/src/runs/incarnation_state.h
@@ -1,7 +1,7 @@
 // All that an owner keeps of one incarnation of an upstream.
 
-#ifndef SRC_RUNS_UPSTREAM_LIFE_H_
-#define SRC_RUNS_UPSTREAM_LIFE_H_
+#ifndef SRC_RUNS_INCARNATION_STATE_H_
+#define SRC_RUNS_INCARNATION_STATE_H_
 
 #include <cstdint>
 #include <optional>
@@ -41,13 +41,13 @@
 // of ends and no run of before. What is kept of it lies here and is replaced
 // whole, so no number or time of one incarnation is ever compared with one of
 // another.
-struct upstream_life {
-  upstream_life(scheduler& scheduler, upstream_birth born);
+struct incarnation_state {
+  incarnation_state(scheduler& scheduler, upstream_birth born);
   // The incarnation that follows `before`: what may still begin, or run, comes
   // with it.
-  upstream_life(scheduler& scheduler,
-                upstream_birth born,
-                const upstream_life& before);
+  incarnation_state(scheduler& scheduler,
+                    upstream_birth born,
+                    const incarnation_state& before);
 
   // An incarnation may be of another kind than the one before: its size and
   // labels are known only by a registration of its own.
@@ -129,4 +129,4 @@
 
 }  // namespace jasminedyke
 
-#endif  // SRC_RUNS_UPSTREAM_LIFE_H_
+#endif  // SRC_RUNS_INCARNATION_STATE_H_
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -55,7 +55,7 @@
       times_(times),
       owner_(told),
       begun_(clock.now()),
-      life_(std::make_unique<upstream_life>(clock, info.birth)) {
+      life_(std::make_unique<incarnation_state>(clock, info.birth)) {
   SendHold(life_->hold);
 }
 
@@ -99,8 +99,8 @@
   // No answer to a call of before reaches us any more.
   port_.Drop(info_.id);
   ++lives_;
-  std::unique_ptr<upstream_life> old = std::move(life_);
-  life_ = std::make_unique<upstream_life>(clock_, birth, *old);
+  std::unique_ptr<incarnation_state> old = std::move(life_);
+  life_ = std::make_unique<incarnation_state>(clock_, birth, *old);
   if (life_->runs.HasUnclear())
     WatchStarts(times_.Patience(kStartPatience));
   upstream_loss loss{{info_.id, old->birth}, true, {}};
--- a/src/runs/upstream_session.h
+++ b/src/runs/upstream_session.h
@@ -12,8 +12,8 @@
 
 #include "base/base.h"
 #include "runs/answer_times.h"
+#include "runs/incarnation_state.h"
 #include "runs/run_types.h"
-#include "runs/upstream_life.h"
 #include "runs/upstream_port.h"
 #include "runs/upstream_registry.h"
 #include "runs/upstream_runs.h"
@@ -26,7 +26,7 @@
 // times out.
 //
 // Behind one id there may be one incarnation of the upstream after another:
-// `upstream_life`. The session stays, as its owner and the work that was
+// `incarnation_state`. The session stays, as its owner and the work that was
 // ordered of the earlier one do.
 //
 // A run is over for us only when that is proven: the upstream listed its end,
@@ -179,7 +179,7 @@
   // When the upstream went out of reach, until it is heard of again.
   std::optional<upstream_loss> missing_;
   time_point begun_;
-  std::unique_ptr<upstream_life> life_;
+  std::unique_ptr<incarnation_state> life_;
   // Answers to calls of earlier ones are not taken.
   int lives_ = 0;
 };
