--- a/src/runs/incarnation_state.cc
+++ b/src/runs/incarnation_state.cc
@@ -6,65 +6,68 @@
 
 namespace {
 
-// Answers get lost in spells of seconds, with less than a second between two
-// losses on an upstream at work.
-constexpr duration kLossMemory = std::chrono::seconds(3);
-// An order that is not answered may be carried out seconds later. By then the
-// upstream may have another clock, on which the order's time limit lies far
-// ahead.
-constexpr duration kLongestOnTheWay = std::chrono::seconds(15);
-// Holds go on prolonging for so long after the last answer. Without an answer
-// they may still arrive, and every lease that may have arrived puts off the
-// proof that nothing runs there any more.
-constexpr duration kProlongUnanswered = std::chrono::milliseconds(600);
-// After an upstream has refused work as unwell: at first, and at most.
-constexpr duration kFirstRefusalPause = std::chrono::milliseconds(200);
-constexpr duration kLongestRefusalPause = std::chrono::seconds(4);
+// Replies are lost in bursts that last seconds, with less than a second between
+// two losses on a busy upstream.
+constexpr duration kUnansweredCallWindow = std::chrono::seconds(3);
+// An unanswered order may be executed seconds later. By then another
+// incarnation may run, on whose clock the order's time limit is far in the
+// future.
+constexpr duration kMaxOrderDelay = std::chrono::seconds(15);
+// How long after the last reply holds continue to extend the lease. An
+// unanswered hold may still arrive, and every lease that may have arrived
+// delays the proof that nothing runs on the upstream any more.
+constexpr duration kMaxProlongWithoutReply = std::chrono::milliseconds(600);
+// Bounds of the pause before new starts after an upstream has refused
+// work.
+constexpr duration kMinBackoff = std::chrono::milliseconds(200);
+constexpr duration kMaxBackoff = std::chrono::seconds(4);
 
 }  // namespace
 
-incarnation_state::incarnation_state(scheduler& scheduler, upstream_birth born)
-    : birth(born),
-      refused_until(scheduler.now()),
+incarnation_state::incarnation_state(scheduler& scheduler,
+                                     upstream_birth initial_birth)
+    : birth(initial_birth),
+      no_starts_until(scheduler.now()),
       clock(scheduler),
       hold(scheduler),
-      spare_hold(scheduler),
-      look_timer(scheduler),
+      second_hold(scheduler),
+      poll_timer(scheduler),
       start_timer(scheduler),
       lapse_timer(scheduler),
       scheduler_(scheduler) {}
 
 incarnation_state::incarnation_state(scheduler& scheduler,
-                                     upstream_birth born,
-                                     const incarnation_state& before)
-    : incarnation_state(scheduler, born) {
-  follows = true;
-  settled = before.settled;
-  runs = before.runs.Carried();
+                                     upstream_birth initial_birth,
+                                     const incarnation_state& predecessor)
+    : incarnation_state(scheduler, initial_birth) {
+  has_predecessor = true;
+  settled = predecessor.settled;
+  runs = predecessor.runs.Carried();
 }
 
-// An answer to a call that was made in the present life comes from this one or
-// from a later one, whichever birth it tells.
-answer_of incarnation_state::WhoAnswers(const upstream_id& id,
-                                        time_point sent,
-                                        const hold_reply& reply) {
+// The reply to a call made during this incarnation comes from this incarnation
+// or a later one, whichever birth it contains: another birth means a later
+// incarnation even if it is lower, as after a time of day that was set back.
+reply_source incarnation_state::ClassifyReply(const upstream_id& id,
+                                              time_point sent,
+                                              const hold_reply& reply) {
   if (!reply.birth) {
-    if (!birth_answered)
-      return answer_of::kPresent;
+    if (!birth_confirmed)
+      return reply_source::kCurrent;
     LogBirth(id, "upstream_birth_missing", upstream_birth());
-    return answer_of::kNobody;
+    return reply_source::kUnusable;
   }
   bool is_first =
       birth == upstream_birth() && !clock.IsRestarted(reply.clock, sent);
   if (is_first)
     birth = *reply.birth;
   if (*reply.birth == birth) {
-    birth_answered = true;
-    return answer_of::kPresent;
+    birth_confirmed = true;
+    return reply_source::kCurrent;
   }
   if (*reply.birth < birth)
     LogBirth(id, "upstream_birth_backwards", *reply.birth);
-  return answer_of::kNext;
+  return reply_source::kLater;
 }
 
 void incarnation_state::LogBirth(const upstream_id& id,
@@ -76,41 +79,41 @@
             {"told", told.value()}});
 }
 
-// One that does not take orders must not be offered each task in turn.
-void incarnation_state::Suspect() {
-  refusal_pause =
-      std::clamp(refusal_pause * 2, kFirstRefusalPause, kLongestRefusalPause);
-  refused_until = scheduler_.now() + refusal_pause;
+// An upstream that refuses orders must not be offered one task after another.
+void incarnation_state::BackOff() {
+  backoff = std::clamp(backoff * 2, kMinBackoff, kMaxBackoff);
+  no_starts_until = scheduler_.now() + backoff;
 }
 
-bool incarnation_state::Answers() const {
-  return clock.HasReadingSince(scheduler_.now() - kProlongUnanswered);
+bool incarnation_state::HasRecentReply() const {
+  return clock.HasReadingSince(scheduler_.now() - kMaxProlongWithoutReply);
 }
 
-bool incarnation_state::LosesAnswers() const {
-  return last_unanswered && scheduler_.now() - *last_unanswered < kLossMemory;
+bool incarnation_state::HasRecentUnansweredCall() const {
+  return last_unanswered_call &&
+         scheduler_.now() - *last_unanswered_call < kUnansweredCallWindow;
 }
 
-bool incarnation_state::LeaseIsOver() const {
+bool incarnation_state::IsLeaseExpired() const {
   return !clock.known() || IsPast(clock.LowerBound(), lease_end);
 }
 
-void incarnation_state::NoteForeignLease(upstream_time given,
-                                         const lease_limits& bounds) {
-  lease_end =
-      std::max(lease_end, {given.ms + WholeMilliseconds(bounds.longest_lease)});
+void incarnation_state::AddUnknownLease(upstream_time granted,
+                                        const lease_limits& limits) {
+  lease_end = std::max(lease_end,
+                       {granted.ms + WholeMilliseconds(limits.longest_lease)});
 }
 
-std::vector<listed_end> incarnation_state::TakeEnds(const hold_reply& reply) {
+std::vector<listed_end> incarnation_state::ApplyEnds(const hold_reply& reply) {
   std::vector<listed_end> ends;
   for (const listed_end& end : reply.ended) {
-    // Two calls may bring the same end.
+    // The replies to two calls may contain the same end.
     if (end.sequence <= acknowledged)
       continue;
     acknowledged = end.sequence;
-    newest_ends = std::max(newest_ends, reply.clock);
+    last_ends_time = std::max(last_ends_time, reply.clock);
     const run_record* known = runs.Find(end.task);
-    // The end of an earlier run says nothing about the present one.
+    // The end of an earlier run of the task does not end its current run.
     if (known && end.run < known->run)
       continue;
     runs.Remove(end.task);
@@ -119,53 +122,55 @@
   return ends;
 }
 
-// Replies may overtake each other: this one may have been written before the
-// end that another one brought, and the run would look like a stranger's.
-bool incarnation_state::IsStale(const hold_reply& reply) const {
+// Returns whether `reply` may have been written before the last end that
+// was received, as replies may arrive out of order. A run that has ended since
+// would look like a run of an earlier owner.
+bool incarnation_state::IsOutdated(const hold_reply& reply) const {
   uint64_t last_end = reply.ended.empty() ? 0 : reply.ended.back().sequence;
-  return reply.clock < newest_ends ||
-         (reply.clock == newest_ends && last_end < acknowledged);
+  return reply.clock < last_ends_time ||
+         (reply.clock == last_ends_time && last_end < acknowledged);
 }
 
-std::vector<listed_run> incarnation_state::TakeRunning(
+std::vector<listed_run> incarnation_state::ApplyRunning(
     const hold_reply& reply,
-    const lease_limits& bounds) {
-  std::vector<listed_run> strangers;
+    const lease_limits& limits) {
+  std::vector<listed_run> unknown_runs;
   for (const listed_run& listed : reply.running) {
     run_record* known = runs.Find(listed.task);
     if (!known) {
-      if (IsStale(reply))
+      if (IsOutdated(reply))
         continue;
       runs.PutFound(listed, scheduler_.now());
-      strangers.push_back(listed);
+      unknown_runs.push_back(listed);
       continue;
     }
     if (listed.run < known->run)
       continue;
-    // The order that began it brought a lease by an earlier one's clock.
+    // The lease in the order that started it was computed for the clock of an
+    // earlier incarnation.
     if (known->carried)
-      NoteForeignLease(reply.clock, bounds);
+      AddUnknownLease(reply.clock, limits);
     known->NoteListed(listed, scheduler_.now());
   }
-  return strangers;
+  return unknown_runs;
 }
 
-bool incarnation_state::MayBeginLater(const run_record& record,
+bool incarnation_state::MayStartLater(const run_record& record,
                                       time_point now) const {
   return birth != upstream_birth() && !gone &&
          (record.IsUnclear() || record.carried) &&
-         now - record.since < kLongestOnTheWay;
+         now - record.since < kMaxOrderDelay;
 }
 
-std::vector<run_over> incarnation_state::TakeAllOver(time_point now) {
-  std::vector<run_over> over;
+std::vector<run_over> incarnation_state::RemoveEndedRuns(time_point now) {
+  std::vector<run_over> ended;
   for (const auto& [task, record] : runs.all()) {
-    if (!MayBeginLater(record, now))
-      over.push_back({task, record.run, false, record.seen});
+    if (!MayStartLater(record, now))
+      ended.push_back({task, record.run, false, record.seen});
   }
-  for (const run_over& each : over)
-    runs.Remove(each.task);
-  return over;
+  for (const run_over& run : ended)
+    runs.Remove(run.task);
+  return ended;
 }
 
 }  // namespace jasminedyke
--- a/src/runs/incarnation_state.h
+++ b/src/runs/incarnation_state.h
@@ -1,4 +1,4 @@
-// All that an owner keeps of one incarnation of an upstream.
+// What the owner of an upstream knows about one of its incarnations.
 
 #ifndef SRC_RUNS_INCARNATION_STATE_H_
 #define SRC_RUNS_INCARNATION_STATE_H_
@@ -15,21 +15,21 @@
 
 namespace jasminedyke {
 
-// A call that waits at the upstream for the next end.
-struct waiting_hold {
-  explicit waiting_hold(scheduler& clock) : timer(clock) {}
+// A hold call that may wait at the upstream for the next end, and its timer.
+struct hold_call {
+  explicit hold_call(scheduler& clock) : timer(clock) {}
 
   bool in_flight = false;
-  // Nothing ran when it was sent: it waits long and brings no lease.
+  // Sent while nothing ran: it waits longer and does not extend the lease.
   bool idle = true;
   scoped_timer timer;
 };
 
-// Whose answer the reply to a hold is.
-enum class answer_of {
-  kPresent,
-  kNext,    // a later incarnation than the present one
-  kNobody,  // it does not say, and can't be used
+// The incarnation that sent the reply to a hold.
+enum class reply_source {
+  kCurrent,
+  kLater,     // a later incarnation
+  kUnusable,  // unknown, as the reply lacks a birth that it must contain
 };
 
 struct lease_limits {
@@ -37,92 +37,105 @@
   duration longest_lease = std::chrono::milliseconds(1000);
 };
 
-// An upstream that crashed and is back under its id has a new clock, a new list
-// of ends and no run of before. What is kept of it lies here and is replaced
-// whole, so no number or time of one incarnation is ever compared with one of
-// another.
+// The owner's state for one incarnation of an upstream. An upstream that has
+// crashed and restarted under the same id has a new clock, a new list of ends
+// and none of its earlier runs. The state is therefore replaced as a whole, so
+// that sequence numbers and times of two incarnations are never compared.
 struct incarnation_state {
-  incarnation_state(scheduler& scheduler, upstream_birth born);
-  // The incarnation that follows `before`: what may still begin, or run, comes
-  // with it.
+  incarnation_state(scheduler& scheduler, upstream_birth initial_birth);
+  // Creates the state of the incarnation that follows `predecessor`,
+  // with the runs that may have started, or may yet start, in it.
   incarnation_state(scheduler& scheduler,
-                    upstream_birth born,
-                    const incarnation_state& before);
+                    upstream_birth initial_birth,
+                    const incarnation_state& predecessor);
 
-  // An incarnation may be of another kind than the one before: its size and
-  // labels are known only by a registration of its own.
-  bool IsRegisteredAs(upstream_birth registered) const {
+  // Returns whether a registration with birth `registered` describes this
+  // incarnation. The capacity and labels of another incarnation may differ.
+  bool MatchesRegistration(upstream_birth registered) const {
     return registered == upstream_birth() || registered == birth;
   }
-  // A call had no answer since the last one that had: another incarnation may
-  // answer the next.
-  bool MayBeOver() const { return unanswered && birth != upstream_birth(); }
-  // The hold was sent in this life, at `sent`.
-  answer_of WhoAnswers(const upstream_id& id,
-                       time_point sent,
-                       const hold_reply& reply);
+  // Returns whether another incarnation may reply to the next call, because the
+  // last hold was not answered.
+  bool MayBeSuperseded() const {
+    return last_hold_unanswered && birth != upstream_birth();
+  }
+  // Determines which incarnation sent `reply` to a hold that was sent at
+  // `sent`, during this incarnation. Learns this incarnation's birth if it is
+  // unknown.
+  reply_source ClassifyReply(const upstream_id& id,
+                             time_point sent,
+                             const hold_reply& reply);
+  // Logs `event` with this incarnation's birth and the birth `told` to us.
   void LogBirth(const upstream_id& id,
                 const char* event,
                 upstream_birth told) const;
 
-  // It gets nothing new for a while.
-  void Suspect();
-  // It did lately.
-  bool Answers() const;
-  // Some of its answers got lost lately.
-  bool LosesAnswers() const;
-  bool LeaseIsOver() const;
-  // One that we did not give, at that time or before.
-  void NoteForeignLease(upstream_time given, const lease_limits& bounds);
-
-  // Removes runs whose ends are new, and returns these ends and those of runs
-  // that are unknown.
-  std::vector<listed_end> TakeEnds(const hold_reply& reply);
-  // Returns those of an earlier owner that are new here.
-  std::vector<listed_run> TakeRunning(const hold_reply& reply,
-                                      const lease_limits& bounds);
-  // Once the lease is over or the upstream is gone. What a later incarnation
-  // may carry out stays.
-  std::vector<run_over> TakeAllOver(time_point now);
+  // Suspends new starts; each call doubles the pause, up to a limit.
+  void BackOff();
+  // Returns whether the upstream has replied recently.
+  bool HasRecentReply() const;
+  // Returns whether a call has recently gone unanswered.
+  bool HasRecentUnansweredCall() const;
+  bool IsLeaseExpired() const;
+  // Accounts for a lease that this owner did not request for this incarnation,
+  // granted at the time `granted` on the upstream's clock or earlier.
+  void AddUnknownLease(upstream_time granted, const lease_limits& limits);
+
+  // Removes the runs whose ends are listed for the first time. Returns these
+  // ends and the new ends of runs that are unknown here.
+  std::vector<listed_end> ApplyEnds(const hold_reply& reply);
+  // Updates the known runs, and adds and returns the runs of an earlier owner
+  // that are listed for the first time.
+  std::vector<listed_run> ApplyRunning(const hold_reply& reply,
+                                       const lease_limits& limits);
+  // Removes and returns all runs except those whose orders a later incarnation
+  // may still execute. Must be called only when the lease has expired or the
+  // upstream is gone.
+  std::vector<run_over> RemoveEndedRuns(time_point now);
 
   upstream_birth birth;
-  // Not the first incarnation that is known here.
-  bool follows = false;
-  // An answer told `birth`: then each must.
-  bool birth_answered = false;
-  // A hold was answered, at all; and the newest one was not.
-  bool answered = false;
-  bool unanswered = false;
+  // The owner has known an earlier incarnation.
+  bool has_predecessor = false;
+  // A reply contained `birth`, so every later reply must contain one.
+  bool birth_confirmed = false;
+  bool any_hold_answered = false;
+  bool last_hold_unanswered = false;
   upstream_runs runs;
+  // Whether it is known what runs there, or that nothing can run any more.
   bool settled = false;
   bool gone = false;
-  bool look_in_flight = false;
-  // A look was wanted while one was under way, which may not show it.
-  bool look_again = false;
+  bool poll_in_flight = false;
+  // Another poll was requested while one was in flight, whose reply may be too
+  // old to show the state at the time of the request.
+  bool poll_again = false;
+  // Consecutive failures of holds and polls.
   int failed_holds = 0;
-  // A start has had no answer for longer than usual, and no other call since.
-  bool in_doubt = false;
-  std::optional<time_point> last_unanswered;
-  // Until then it gets nothing new, because it refused work.
-  time_point refused_until;
-  duration refusal_pause = duration::zero();
+  // A start has gone unanswered for longer than usual, and no reply
+  // to any call has arrived since it was sent.
+  bool start_overdue = false;
+  std::optional<time_point> last_unanswered_call;
+  // The upstream is given no new runs until then, because it refused one.
+  time_point no_starts_until;
+  duration backoff = duration::zero();
   upstream_clock clock;
-  // Nothing on the upstream outlives this time on its clock.
+  // Latest time, on the upstream's clock, at which any lease can end.
   upstream_time lease_end;
-  // What runs there lives until then, if our orders arrived.
-  upstream_time given_until;
+  // End of the lease if this owner's last orders have arrived.
+  upstream_time requested_lease_end;
+  // Sequence number of the last end that was received.
   uint64_t acknowledged = 0;
-  // The upstream's clock in the newest reply that brought ends.
-  upstream_time newest_ends;
-  waiting_hold hold;
-  waiting_hold spare_hold;
-  scoped_timer look_timer;
+  // The upstream's clock in the last reply that contained new ends.
+  upstream_time last_ends_time;
+  hold_call hold;
+  // Used while replies are being lost.
+  hold_call second_hold;
+  scoped_timer poll_timer;
   scoped_timer start_timer;
   scoped_timer lapse_timer;
 
  private:
-  bool MayBeginLater(const run_record& record, time_point now) const;
-  bool IsStale(const hold_reply& reply) const;
+  bool MayStartLater(const run_record& record, time_point now) const;
+  bool IsOutdated(const hold_reply& reply) const;
 
   scheduler& scheduler_;
 };
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -8,34 +8,38 @@
 
 namespace {
 
-// How long a hold waits at the upstream while something runs there. One whose
-// answer is lost hides ends for as long; ends are more frequent than this on
-// upstreams at work, so a shorter wait costs few calls.
+// How long a hold waits at the upstream while something runs there. If its
+// reply is lost, ends stay unknown for as long. Ends are more frequent than
+// this on busy upstreams, so a short wait costs few additional calls.
 constexpr duration kHoldWait = std::chrono::milliseconds(300);
-// The same while nothing runs: the longest that upstreams allow.
+// The same while nothing runs: the longest wait that upstreams allow.
 constexpr duration kIdleHoldWait = std::chrono::milliseconds(2000);
-// After the last end the acknowledgement may wait for the next start. Ends that
-// are not acknowledged for several seconds count as lost.
-constexpr duration kIdlePause = std::chrono::milliseconds(1000);
-// A lease is prolonged when it has so long to go and no hold is due before.
-constexpr duration kLeaseMargin = std::chrono::milliseconds(250);
-// An order that takes longer on its way is refused as late. Long enough that
-// most tasks end under the lease which their start brings.
-constexpr duration kStartLimit = std::chrono::milliseconds(500);
-// Starts are answered within a fraction of this; one that is not is looked for
-// before callers of short tasks have lost their objective.
-constexpr duration kStartPatience = std::chrono::milliseconds(30);
-// Between looks for an unanswered start, doubled each time: a look is answered
-// as fast as a start, and an upstream that answers nothing must not be flooded.
-constexpr duration kStartRecheck = std::chrono::milliseconds(40);
-constexpr duration kLongestStartRecheck = std::chrono::milliseconds(320);
-// After a failed hold. The first repetition must come well within the lease.
-constexpr duration kHoldRetry = std::chrono::milliseconds(60);
-constexpr duration kLongestHoldRetry = std::chrono::milliseconds(1000);
-// An upstream that never answered us may still be prolonged by an earlier
-// owner that can reach it. That one learns of its successor from the store's
-// row within its renewal interval; then its lease runs out.
-constexpr duration kSettleWithoutAnswer = std::chrono::milliseconds(2500);
+// Pause after the last run's end, during which the next start may send the hold
+// that acknowledges it. It must stay well below the several seconds after which
+// unacknowledged ends count as lost.
+constexpr duration kIdleHoldPause = std::chrono::milliseconds(1000);
+// Remaining time of a lease at which it is extended, if no hold is due before.
+constexpr duration kLeaseRenewalMargin = std::chrono::milliseconds(250);
+// An order that takes longer to arrive is refused as late. The limit also sets
+// the initial lease, and is long enough for most tasks to end under it.
+constexpr duration kStartTimeLimit = std::chrono::milliseconds(500);
+// Starts are usually answered within a fraction of this. A poll checks an
+// unanswered one early enough for callers of short tasks to meet their target.
+constexpr duration kStartReplyTimeout = std::chrono::milliseconds(30);
+// Interval between polls for an unanswered start, which doubles each time. A
+// poll is answered as fast as a start, but an unresponsive upstream must not be
+// flooded.
+constexpr duration kMinStartCheckInterval = std::chrono::milliseconds(40);
+constexpr duration kMaxStartCheckInterval = std::chrono::milliseconds(320);
+// Pause after a failed hold. The first retry must come well within the lease.
+// Also the interval between checks whether the lease has expired.
+constexpr duration kHoldRetryPause = std::chrono::milliseconds(60);
+constexpr duration kMaxHoldRetryPause = std::chrono::milliseconds(1000);
+// Time after which an upstream that has never replied counts as settled. Until
+// then an earlier owner that can reach it may still extend its lease: that
+// owner learns of its successor from the store's row within its renewal
+// interval, and the lease expires after that.
+constexpr duration kSettleTimeout = std::chrono::milliseconds(2500);
 
 }  // namespace
 
@@ -43,20 +47,20 @@
                                    upstream_port& port,
                                    const upstream_info& info,
                                    fencing_token token,
-                                   const limits& bounds,
+                                   const limits& session_limits,
                                    answer_times& times,
-                                   owner& told)
+                                   owner& session_owner)
     : clock_(clock),
       port_(port),
       info_(info),
       largest_capacity_(info.capacity),
       token_(token),
-      limits_(bounds),
+      limits_(session_limits),
       times_(times),
-      owner_(told),
-      begun_(clock.now()),
-      life_(std::make_unique<incarnation_state>(clock, info.birth)) {
-  SendHold(life_->hold);
+      owner_(session_owner),
+      created_at_(clock.now()),
+      incarnation_(std::make_unique<incarnation_state>(clock, info.birth)) {
+  SendHold(incarnation_->hold);
 }
 
 upstream_session::~upstream_session() {
@@ -64,53 +68,55 @@
 }
 
 void upstream_session::SetInfo(const upstream_info& info) {
-  bool is_told = info.birth != upstream_birth() && info.birth != info_.birth;
-  bool is_outdated = is_told && info.birth < life_->birth &&
-                     life_->IsRegisteredAs(info_.birth);
+  bool has_new_birth =
+      info.birth != upstream_birth() && info.birth != info_.birth;
+  bool is_outdated = has_new_birth && info.birth < incarnation_->birth &&
+                     incarnation_->MatchesRegistration(info_.birth);
   if (is_outdated) {
-    life_->LogBirth(info_.id, "upstream_row_outdated", info.birth);
+    incarnation_->LogBirth(info_.id, "upstream_row_outdated", info.birth);
     return;
   }
   info_ = info;
-  if (is_told)
-    TakeRegisteredBirth();
+  if (has_new_birth)
+    ApplyRegisteredBirth();
   largest_capacity_ = MaximumOf(largest_capacity_, info.capacity);
 }
 
-void upstream_session::TakeRegisteredBirth() {
-  // It may be of another kind.
+void upstream_session::ApplyRegisteredBirth() {
+  // The capacity of another incarnation may differ.
   largest_capacity_ = info_.capacity;
-  // An instance of an older release passes registrations on without it.
-  if (life_->birth == upstream_birth()) {
-    life_->birth = info_.birth;
+  // An instance of an older release omits the birth from registrations.
+  if (incarnation_->birth == upstream_birth()) {
+    incarnation_->birth = info_.birth;
     return;
   }
-  if (info_.birth <= life_->birth)
+  if (info_.birth <= incarnation_->birth)
     return;
-  BeginLife(info_.birth);
-  SendHold(life_->hold);
+  BeginIncarnation(info_.birth);
+  SendHold(incarnation_->hold);
 }
 
-// What is known to run in the earlier incarnation is over. What was ordered of
-// it without an answer may have run there, and the order may still arrive: it
-// is over once the new one refuses it.
-void upstream_session::BeginLife(upstream_birth birth) {
-  life_->LogBirth(info_.id, "upstream_reborn", birth);
-  // No answer to a call of before reaches us any more.
+// Ends the runs that are known to have started in the earlier incarnation. A
+// run whose start was not answered may have run there, and its order may still
+// reach the new incarnation: that run is run only once the new one refuses it.
+void upstream_session::BeginIncarnation(upstream_birth birth) {
+  incarnation_->LogBirth(info_.id, "upstream_reborn", birth);
+  // Discards the replies to earlier calls.
   port_.Drop(info_.id);
-  ++lives_;
-  std::unique_ptr<incarnation_state> old = std::move(life_);
-  life_ = std::make_unique<incarnation_state>(clock_, birth, *old);
-  if (life_->runs.HasUnclear())
-    WatchStarts(times_.Patience(kStartPatience));
+  ++incarnation_number_;
+  std::unique_ptr<incarnation_state> old = std::move(incarnation_);
+  incarnation_ = std::make_unique<incarnation_state>(clock_, birth, *old);
+  if (incarnation_->runs.HasUnclear())
+    ScheduleStartCheck(times_.Patience(kStartReplyTimeout));
   upstream_loss loss{{info_.id, old->birth}, true, {}};
   for (const auto& [task, record] : old->runs.all()) {
-    // One order, whichever incarnations it is carried over to.
+    // A carried order is a single loss, which was reported with the incarnation
+    // that the order was sent to.
     if (!record.carried)
       loss.runs.push_back({task, record.seen});
   }
   owner_.OnReborn(*this);
-  TellFoundAgain(true);
+  ReportFoundAgain(true);
   if (!loss.runs.empty())
     owner_.OnLost(*this, loss);
   for (const auto& [task, record] : old->runs.all()) {
@@ -120,15 +126,17 @@
 }
 
 bool upstream_session::usable() const {
-  return life_->settled && life_->clock.known() && !life_->gone &&
-         life_->IsRegisteredAs(info_.birth) && !info_.draining &&
-         life_->failed_holds == 0 && !life_->in_doubt &&
-         clock_.now() >= life_->refused_until && !life_->runs.HasFound();
+  return incarnation_->settled && incarnation_->clock.known() &&
+         !incarnation_->gone &&
+         incarnation_->MatchesRegistration(info_.birth) && !info_.draining &&
+         incarnation_->failed_holds == 0 && !incarnation_->start_overdue &&
+         clock_.now() >= incarnation_->no_starts_until &&
+         !incarnation_->runs.HasFound();
 }
 
 std::optional<run_progress> upstream_session::Progress(
     const task_name& task) const {
-  const run_record* found = life_->runs.Find(task);
+  const run_record* found = incarnation_->runs.Find(task);
   if (!found || !found->progress)
     return std::nullopt;
   run_progress progress = *found->progress;
@@ -147,27 +155,27 @@
   order.spec = spec;
   order.token = token_;
   order.delegate = delegate;
-  order.not_after = life_->clock.UpperBound();
-  order.not_after.ms += WholeMilliseconds(kStartLimit);
+  order.not_after = incarnation_->clock.UpperBound();
+  order.not_after.ms += WholeMilliseconds(kStartTimeLimit);
   run_record record;
   record.run = run;
   record.need = need;
   record.since = clock_.now();
-  record.ordered = life_->clock.LowerBound();
+  record.ordered = incarnation_->clock.LowerBound();
   record.not_after = order.not_after;
-  life_->runs.Put(task, record);
-  NoteLease(order.not_after);
-  // Its end must not wait for an idle upstream's next hold.
-  if (!life_->hold.in_flight && life_->failed_holds == 0)
-    life_->hold.timer.StartAfter(duration::zero(),
-                                 [this] { SendHold(life_->hold); });
-  SendSpareHold();
-  if (!life_->start_timer.active())
-    WatchStarts(times_.Patience(kStartPatience));
+  incarnation_->runs.Put(task, record);
+  RecordRequestedLease(order.not_after);
+  // The run's end must not wait for the next hold of an idle upstream.
+  if (!incarnation_->hold.in_flight && incarnation_->failed_holds == 0)
+    incarnation_->hold.timer.StartAfter(
+        duration::zero(), [this] { SendHold(incarnation_->hold); });
+  SendSecondHold();
+  if (!incarnation_->start_timer.active())
+    ScheduleStartCheck(times_.Patience(kStartReplyTimeout));
   port_.Start(info_.id, order,
-              [this, task, run, life = lives_,
+              [this, task, run, number = incarnation_number_,
                sent = clock_.now()](const start_reply& reply) {
-                if (life == lives_)
+                if (number == incarnation_number_)
                   OnStarted(task, run, sent, reply);
               });
 }
@@ -177,68 +185,68 @@
                                  time_point sent,
                                  const start_reply& reply) {
   if (reply.clock) {
-    life_->clock.AddReading(*reply.clock, sent);
+    incarnation_->clock.AddReading(*reply.clock, sent);
     times_.Note(clock_.now() - sent);
-    life_->in_doubt = false;
+    incarnation_->start_overdue = false;
   }
-  run_record* found = life_->runs.Find(task);
+  run_record* found = incarnation_->runs.Find(task);
   if (!found || found->run != run)
     return;
   run_record& record = *found;
-  // A hold may have listed it before the start's own answer arrived.
+  // A hold may have listed the run before the reply to its start arrived.
   bool was_starting = record.phase == run_phase::kStarting;
   switch (reply.result) {
     case start_result::kStarted:
-      life_->refusal_pause = duration::zero();
+      incarnation_->backoff = duration::zero();
       record.phase = run_phase::kRunning;
       record.since = clock_.now();
-      NoteSeen(record, reply);
+      UpdateSeen(record, reply);
       if (record.stop_wanted)
         SendStop(record, task);
       return;
     case start_result::kUnknown:
-      NoteUnanswered();
+      RecordUnansweredCall();
       if (was_starting)
         record.phase = run_phase::kUnproven;
-      SendLook();
+      SendPoll();
       return;
     case start_result::kNotSent:
-      life_->Suspect();
+      incarnation_->BackOff();
       break;
     case start_result::kFenced:
       owner_.OnFenced(*this);
       return;
     case start_result::kGone:
-      life_->gone = true;
-      EndAll(run_end::kLapsed);
+      incarnation_->gone = true;
+      EndRuns(run_end::kLapsed);
       return;
     case start_result::kUnwell:
-      life_->Suspect();
+      incarnation_->BackOff();
       break;
     case start_result::kNoRoom:
-      // Something occupies room that we don't know of yet; the next hold
-      // lists it.
-      life_->refused_until = clock_.now() + kHoldRetry;
+      // A run that is unknown here occupies capacity; the next hold lists it.
+      incarnation_->no_starts_until = clock_.now() + kHoldRetryPause;
       break;
     default:
       break;
   }
   if (!was_starting)
     return;
-  life_->runs.Remove(task);
+  incarnation_->runs.Remove(task);
   owner_.OnNotStarted(*this, task, run, reply.result);
 }
 
-// The answer to a start tells no birth. One whose clock shows less than it did
-// when the order was sent is of a later incarnation.
-void upstream_session::NoteSeen(run_record& record, const start_reply& reply) {
+// The reply to a start contains no birth. If its clock is behind the reading
+// that was known when the order was sent, a later incarnation has replied.
+void upstream_session::UpdateSeen(run_record& record,
+                                  const start_reply& reply) {
   record.seen = reply.clock && *reply.clock >= record.ordered;
-  if (!record.seen && life_->birth != upstream_birth())
-    SendLook();
+  if (!record.seen && incarnation_->birth != upstream_birth())
+    SendPoll();
 }
 
 void upstream_session::Stop(const task_name& task) {
-  run_record* found = life_->runs.Find(task);
+  run_record* found = incarnation_->runs.Find(task);
   if (!found)
     return;
   found->stop_wanted = true;
@@ -251,10 +259,11 @@
   record.stop_in_flight = true;
   port_.Stop(info_.id,
              {task, record.run, token_, times_.Patience(kReplyTimeout)},
-             [this, task, run = record.run, life = lives_](call_result result) {
-               if (life != lives_)
+             [this, task, run = record.run,
+              number = incarnation_number_](call_result result) {
+               if (number != incarnation_number_)
                  return;
-               run_record* found = life_->runs.Find(task);
+               run_record* found = incarnation_->runs.Find(task);
                if (found && found->run == run) {
                  found->stop_in_flight = false;
                  OnStopAnswered(*found, result);
@@ -266,43 +275,46 @@
 
 void upstream_session::OnStopAnswered(run_record& record, call_result result) {
   if (result == call_result::kUnknown)
-    NoteUnanswered();
+    RecordUnansweredCall();
   if (result != call_result::kOk || !record.IsUnclear())
     return;
   record.refused_since = clock_.now();
-  SendLook();
+  SendPoll();
 }
 
-void upstream_session::WatchStarts(duration pause) {
-  life_->start_timer.StartAfter(pause, [this, pause] {
+void upstream_session::ScheduleStartCheck(duration pause) {
+  incarnation_->start_timer.StartAfter(pause, [this, pause] {
     CheckStarts();
-    if (life_->runs.HasUnclear())
-      WatchStarts(std::clamp(pause * 2, kStartRecheck, kLongestStartRecheck));
+    if (incarnation_->runs.HasUnclear())
+      ScheduleStartCheck(std::clamp(pause * 2, kMinStartCheckInterval,
+                                    kMaxStartCheckInterval));
   });
 }
 
 void upstream_session::CheckStarts() {
-  std::vector<task_name> in_doubt =
-      life_->runs.InDoubt(clock_.now(), times_.Patience(kStartPatience));
-  if (in_doubt.empty())
+  std::vector<task_name> overdue = incarnation_->runs.InDoubt(
+      clock_.now(), times_.Patience(kStartReplyTimeout));
+  if (overdue.empty())
     return;
-  for (const task_name& task : in_doubt) {
-    if (!life_->clock.HasReadingSince(life_->runs.Find(task)->since))
-      life_->in_doubt = true;
+  for (const task_name& task : overdue) {
+    if (!incarnation_->clock.HasReadingSince(
+            incarnation_->runs.Find(task)->since))
+      incarnation_->start_overdue = true;
   }
-  NoteUnanswered();
-  SendLook();
-}
-
-// A start that is neither listed nor answered may be on its way for seconds.
-// Its task would wait for the order's time limit: a caller of short tasks has
-// its answer late by then. Once the upstream has confirmed the stop of this run
-// number it refuses the order whenever it comes.
-void upstream_session::RefuseUnlistedStarts(time_point sent,
-                                            const hold_reply& reply) {
-  duration patience = times_.Patience(kStartPatience);
-  for (const task_name& task : life_->runs.InDoubt(sent, patience)) {
-    run_record* record = life_->runs.Find(task);
+  RecordUnansweredCall();
+  SendPoll();
+}
+
+// Stops starts that are neither answered nor listed. Such an order may be in
+// transit for seconds, and waiting for its time limit would make the answer to
+// a caller of short tasks late. Once the upstream has confirmed the stop of a
+// run number, it refuses the order whenever it arrives.
+void upstream_session::StopUnlistedStarts(time_point sent,
+                                          const hold_reply& reply) {
+  duration reply_timeout = times_.Patience(kStartReplyTimeout);
+  for (const task_name& task :
+       incarnation_->runs.InDoubt(sent, reply_timeout)) {
+    run_record* record = incarnation_->runs.Find(task);
     if (!record->refused_since && !IsListed(reply, task, record->run))
       SendStop(*record, task);
   }
@@ -310,300 +322,315 @@
 
 void upstream_session::Adopt(const task_name& task,
                              const resource_amount& need) {
-  run_record* found = life_->runs.Find(task);
+  run_record* found = incarnation_->runs.Find(task);
   if (!found || found->phase != run_phase::kFound)
     return;
-  life_->runs.Adopt(*found, need);
-  if (!life_->runs.HasFound())
+  incarnation_->runs.Adopt(*found, need);
+  if (!incarnation_->runs.HasFound())
     owner_.OnCapacityChanged(*this);
 }
 
-// While runs of an earlier owner are unclaimed, theirs must be allowed to
-// lapse: their job may have been sent again and be running elsewhere.
-hold_order upstream_session::MakeHold() {
+// The lease must not be extended while runs of an earlier owner are unclaimed:
+// they must be able to lapse, as their job may have been submitted again and be
+// running elsewhere.
+hold_order upstream_session::MakeHoldOrder() {
   hold_order order;
   order.token = token_;
-  // The next incarnation must not forget ends of its own by our number.
-  order.acknowledged = life_->MayBeOver() ? 0 : life_->acknowledged;
+  // The next incarnation must not remove its own ends because of a sequence
+  // number of this one.
+  order.acknowledged =
+      incarnation_->MayBeSuperseded() ? 0 : incarnation_->acknowledged;
   order.reply_timeout = times_.Patience(kReplyTimeout);
-  if (life_->settled && life_->clock.known() && !life_->runs.HasFound() &&
-      !life_->runs.empty() && (life_->Answers() || life_->failed_holds == 0)) {
-    order.lease_until = life_->clock.UpperBound();
+  if (incarnation_->settled && incarnation_->clock.known() &&
+      !incarnation_->runs.HasFound() && !incarnation_->runs.empty() &&
+      (incarnation_->HasRecentReply() || incarnation_->failed_holds == 0)) {
+    order.lease_until = incarnation_->clock.UpperBound();
     order.lease_until->ms += WholeMilliseconds(limits_.longest_lease);
-    NoteLease(*order.lease_until);
+    RecordRequestedLease(*order.lease_until);
   }
   return order;
 }
 
-void upstream_session::SendHold(waiting_hold& hold) {
-  if (hold.in_flight || life_->gone)
+void upstream_session::SendHold(hold_call& hold) {
+  if (hold.in_flight || incarnation_->gone)
     return;
-  hold_order order = MakeHold();
-  // One that waits would hide another incarnation as long.
-  bool may_wait = life_->answered || !life_->follows;
-  if (life_->settled && life_->failed_holds == 0 && may_wait &&
-      !life_->MayBeOver()) {
-    order.wait = life_->runs.empty() ? kIdleHoldWait
-                 : order.lease_until ? kHoldWait
-                                     : kHoldRetry;
+  hold_order order = MakeHoldOrder();
+  // A hold that waits would delay the discovery of another incarnation.
+  bool may_wait =
+      incarnation_->any_hold_answered || !incarnation_->has_predecessor;
+  if (incarnation_->settled && incarnation_->failed_holds == 0 && may_wait &&
+      !incarnation_->MayBeSuperseded()) {
+    order.wait = incarnation_->runs.empty() ? kIdleHoldWait
+                 : order.lease_until        ? kHoldWait
+                                            : kHoldRetryPause;
   }
   hold.in_flight = true;
-  hold.idle = life_->runs.empty();
+  hold.idle = incarnation_->runs.empty();
   hold.timer.Stop();
   port_.Hold(info_.id, order,
-             [this, &hold, life = lives_,
+             [this, &hold, number = incarnation_number_,
               sent = clock_.now()](const hold_reply& reply) {
-               if (life != lives_)
+               if (number != incarnation_number_)
                  return;
                hold.in_flight = false;
                if (reply.result == call_result::kOk)
-                 OnAnswered(hold, sent, reply);
+                 OnHoldReply(hold, sent, reply);
                else
                  OnHoldFailed(hold, sent, reply.result);
              });
 }
 
-// While answers get lost, ends are learnt late, and the room that they free
-// stays empty as long. Where all upstreams are late none
-// of it is lost, and a second hold for each end doubles what is on the link.
-void upstream_session::SendSpareHold() {
-  bool wanted = life_->settled && life_->failed_holds == 0 &&
-                life_->LosesAnswers() && !times_.AllLate() &&
-                !life_->runs.empty() && !life_->runs.HasFound();
+// Sends a second hold while replies are being lost, as ends would otherwise be
+// learnt late and the capacity that they free would stay unused meanwhile. If
+// the replies of all upstreams are late, none are lost, and a second hold for
+// each end would only double the traffic on the link.
+void upstream_session::SendSecondHold() {
+  bool wanted = incarnation_->settled && incarnation_->failed_holds == 0 &&
+                incarnation_->HasRecentUnansweredCall() && !times_.AllLate() &&
+                !incarnation_->runs.empty() && !incarnation_->runs.HasFound();
   if (wanted)
-    SendHold(life_->spare_hold);
+    SendHold(incarnation_->second_hold);
 }
 
-void upstream_session::SendLook() {
-  if (life_->gone || life_->runs.empty())
+void upstream_session::SendPoll() {
+  if (incarnation_->gone || incarnation_->runs.empty())
     return;
-  if (life_->look_in_flight) {
-    life_->look_again = true;
+  if (incarnation_->poll_in_flight) {
+    incarnation_->poll_again = true;
     return;
   }
-  hold_order order = MakeHold();
-  life_->look_in_flight = true;
-  life_->look_again = false;
-  port_.Hold(
-      info_.id, order,
-      [this, life = lives_, sent = clock_.now()](const hold_reply& reply) {
-        if (life != lives_)
-          return;
-        life_->look_in_flight = false;
-        OnLooked(sent, reply);
-        if (life_->look_again)
-          SendLook();
-      });
-}
-
-// One of a later incarnation is taken here, and no reference to what was kept
-// of the present one holds afterwards.
-answer_of upstream_session::WhoseAnswer(time_point sent,
-                                        const hold_reply& reply) {
-  answer_of whose = life_->WhoAnswers(info_.id, sent, reply);
-  if (whose == answer_of::kNext) {
-    BeginLife(*reply.birth);
-    OnHeld(life_->hold, sent, reply);
+  hold_order order = MakeHoldOrder();
+  incarnation_->poll_in_flight = true;
+  incarnation_->poll_again = false;
+  port_.Hold(info_.id, order,
+             [this, number = incarnation_number_,
+              sent = clock_.now()](const hold_reply& reply) {
+               if (number != incarnation_number_)
+                 return;
+               incarnation_->poll_in_flight = false;
+               OnPollReply(sent, reply);
+               if (incarnation_->poll_again)
+                 SendPoll();
+             });
+}
+
+// Applies the reply of a later incarnation before returning. This replaces
+// `incarnation_` and invalidates all references into it.
+reply_source upstream_session::ResolveReplySource(time_point sent,
+                                                  const hold_reply& reply) {
+  reply_source source = incarnation_->ClassifyReply(info_.id, sent, reply);
+  if (source == reply_source::kLater) {
+    BeginIncarnation(*reply.birth);
+    OnHoldAnswered(incarnation_->hold, sent, reply);
   }
-  return whose;
+  return source;
 }
 
-void upstream_session::OnLooked(time_point sent, const hold_reply& reply) {
+void upstream_session::OnPollReply(time_point sent, const hold_reply& reply) {
   if (reply.result != call_result::kOk) {
-    OnLookFailed(sent);
+    OnPollFailed(sent);
     return;
   }
   times_.Note(clock_.now() - sent);
-  answer_of whose = WhoseAnswer(sent, reply);
-  if (whose == answer_of::kPresent)
-    TakeHold(sent, reply);
-  else if (whose == answer_of::kNobody)
-    OnLookFailed(sent);
-}
-
-// The hold that waits may show it only seconds later.
-void upstream_session::OnLookFailed(time_point sent) {
-  NoteUnanswered();
-  life_->unanswered = true;
-  if (!life_->clock.HasReadingSince(sent))
-    ++life_->failed_holds;
-  life_->look_timer.StartAfter(RetryPause(), [this] { SendLook(); });
+  reply_source source = ResolveReplySource(sent, reply);
+  if (source == reply_source::kCurrent)
+    ApplyReply(sent, reply);
+  else if (source == reply_source::kUnusable)
+    OnPollFailed(sent);
+}
+
+// Retries on a timer of its own, as a hold that waits at the upstream may
+// reveal the failure only seconds later.
+void upstream_session::OnPollFailed(time_point sent) {
+  RecordUnansweredCall();
+  incarnation_->last_hold_unanswered = true;
+  if (!incarnation_->clock.HasReadingSince(sent))
+    ++incarnation_->failed_holds;
+  incarnation_->poll_timer.StartAfter(RetryPause(), [this] { SendPoll(); });
   CheckLapse();
 }
 
 duration upstream_session::RetryPause() const {
-  int doublings = std::clamp(life_->failed_holds - 1, 0, 5);
-  return std::min(kLongestHoldRetry, kHoldRetry * (1 << doublings));
+  int doublings = std::clamp(incarnation_->failed_holds - 1, 0, 5);
+  return std::min(kMaxHoldRetryPause, kHoldRetryPause * (1 << doublings));
 }
 
-void upstream_session::WatchLease() {
-  if (life_->runs.empty() || life_->failed_holds > 0)
+void upstream_session::ScheduleLeasePoll() {
+  if (incarnation_->runs.empty() || incarnation_->failed_holds > 0)
     return;
-  duration left = std::chrono::milliseconds(life_->given_until.ms -
-                                            life_->clock.UpperBound().ms);
-  duration pause = std::max(duration::zero(), left - kLeaseMargin);
-  // A lost one would hide ends for its whole wait.
-  if (life_->hold.in_flight && life_->hold.idle)
+  duration left =
+      std::chrono::milliseconds(incarnation_->requested_lease_end.ms -
+                                incarnation_->clock.UpperBound().ms);
+  duration pause = std::max(duration::zero(), left - kLeaseRenewalMargin);
+  // If the reply to an idle hold were lost, ends would stay unknown for its
+  // whole wait.
+  if (incarnation_->hold.in_flight && incarnation_->hold.idle)
     pause = std::min(pause, kHoldWait);
-  life_->look_timer.StartAfter(pause, [this] { SendLook(); });
+  incarnation_->poll_timer.StartAfter(pause, [this] { SendPoll(); });
 }
 
-void upstream_session::OnAnswered(waiting_hold& hold,
-                                  time_point sent,
-                                  const hold_reply& reply) {
-  answer_of whose = WhoseAnswer(sent, reply);
-  if (whose == answer_of::kPresent)
-    OnHeld(hold, sent, reply);
-  else if (whose == answer_of::kNobody)
+void upstream_session::OnHoldReply(hold_call& hold,
+                                   time_point sent,
+                                   const hold_reply& reply) {
+  reply_source source = ResolveReplySource(sent, reply);
+  if (source == reply_source::kCurrent)
+    OnHoldAnswered(hold, sent, reply);
+  else if (source == reply_source::kUnusable)
     OnHoldFailed(hold, sent, call_result::kUnknown);
 }
 
-void upstream_session::OnHeld(waiting_hold& hold,
-                              time_point sent,
-                              const hold_reply& reply) {
-  // An earlier owner, or an order for an earlier incarnation, may have
-  // prolonged its runs up to now.
-  bool is_first = life_->follows && !life_->answered;
-  if (!life_->settled || is_first)
-    life_->NoteForeignLease(reply.clock, limits_);
-  life_->settled = true;
-  TakeHold(sent, reply);
-  NextHold(hold, !reply.ended.empty());
+void upstream_session::OnHoldAnswered(hold_call& hold,
+                                      time_point sent,
+                                      const hold_reply& reply) {
+  // An earlier owner, or an order sent to an earlier incarnation, may have
+  // extended the lease up to now.
+  bool is_first =
+      incarnation_->has_predecessor && !incarnation_->any_hold_answered;
+  if (!incarnation_->settled || is_first)
+    incarnation_->AddUnknownLease(reply.clock, limits_);
+  incarnation_->settled = true;
+  ApplyReply(sent, reply);
+  ScheduleNextHold(hold, !reply.ended.empty());
 }
 
-void upstream_session::TakeHold(time_point sent, const hold_reply& reply) {
+void upstream_session::ApplyReply(time_point sent, const hold_reply& reply) {
   bool was_usable = usable();
-  life_->failed_holds = 0;
-  life_->answered = true;
-  life_->unanswered = false;
-  life_->in_doubt = false;
-  life_->lapse_timer.Stop();
-  life_->clock.AddReading(reply.clock, sent);
-  TellFoundAgain(false);
-  TakeEnds(reply);
-  TakeRunning(reply);
-  JudgeUnlisted(sent, reply);
-  RefuseUnlistedStarts(sent, reply);
+  incarnation_->failed_holds = 0;
+  incarnation_->any_hold_answered = true;
+  incarnation_->last_hold_unanswered = false;
+  incarnation_->start_overdue = false;
+  incarnation_->lapse_timer.Stop();
+  incarnation_->clock.AddReading(reply.clock, sent);
+  ReportFoundAgain(false);
+  ApplyEnds(reply);
+  ApplyRunning(reply);
+  EndUnlistedRuns(sent, reply);
+  StopUnlistedStarts(sent, reply);
   if (!reply.ended.empty() || !was_usable)
     owner_.OnCapacityChanged(*this);
 }
 
-void upstream_session::NextHold(waiting_hold& hold, bool any_end) {
-  bool is_main = &hold == &life_->hold;
-  if (is_main && any_end && life_->runs.empty())
-    hold.timer.StartAfter(kIdlePause, [this] { SendHold(life_->hold); });
-  else if (is_main)
+void upstream_session::ScheduleNextHold(hold_call& hold, bool any_end) {
+  bool is_main_hold = &hold == &incarnation_->hold;
+  if (is_main_hold && any_end && incarnation_->runs.empty())
+    hold.timer.StartAfter(kIdleHoldPause,
+                          [this] { SendHold(incarnation_->hold); });
+  else if (is_main_hold)
     SendHold(hold);
-  SendSpareHold();
+  SendSecondHold();
 }
 
-void upstream_session::OnHoldFailed(waiting_hold& hold,
+void upstream_session::OnHoldFailed(hold_call& hold,
                                     time_point sent,
                                     call_result result) {
   if (result == call_result::kFenced) {
     owner_.OnFenced(*this);
-    hold.timer.StartAfter(kHoldRetry, [this, &hold] { SendHold(hold); });
+    hold.timer.StartAfter(kHoldRetryPause, [this, &hold] { SendHold(hold); });
     return;
   }
   if (result == call_result::kGone) {
-    life_->gone = true;
-    life_->settled = true;
-    EndAll(run_end::kLapsed);
+    incarnation_->gone = true;
+    incarnation_->settled = true;
+    EndRuns(run_end::kLapsed);
     return;
   }
-  NoteUnanswered();
-  life_->unanswered = true;
-  // A single lost answer does not take an upstream out of use that answers
-  // other calls.
-  if (life_->clock.HasReadingSince(sent)) {
-    NextHold(hold, false);
+  RecordUnansweredCall();
+  incarnation_->last_hold_unanswered = true;
+  // A single lost reply does not make an upstream unusable that has replied to
+  // other calls since.
+  if (incarnation_->clock.HasReadingSince(sent)) {
+    ScheduleNextHold(hold, false);
     return;
   }
-  ++life_->failed_holds;
+  ++incarnation_->failed_holds;
   hold.timer.StartAfter(RetryPause(), [this, &hold] { SendHold(hold); });
   CheckLapse();
 }
 
-// Runs after failed holds until the upstream answers again or nothing of ours
-// can be running there.
+// Runs repeatedly after failed holds, until the upstream replies or none of the
+// session's runs can be running there.
 void upstream_session::CheckLapse() {
-  if (!life_->settled && clock_.now() - begun_ >= kSettleWithoutAnswer)
-    SettleWithoutAnswer();
-  if (life_->settled && life_->LeaseIsOver()) {
-    EndAll(run_end::kLapsed);
-    if (life_->runs.empty())
+  if (!incarnation_->settled && clock_.now() - created_at_ >= kSettleTimeout)
+    SettleWithoutReply();
+  if (incarnation_->settled && incarnation_->IsLeaseExpired()) {
+    EndRuns(run_end::kLapsed);
+    if (incarnation_->runs.empty())
       return;
   }
-  if (!life_->lapse_timer.active())
-    life_->lapse_timer.StartAfter(kHoldRetry, [this] { CheckLapse(); });
+  if (!incarnation_->lapse_timer.active())
+    incarnation_->lapse_timer.StartAfter(kHoldRetryPause,
+                                         [this] { CheckLapse(); });
 }
 
-void upstream_session::SettleWithoutAnswer() {
-  life_->settled = true;
+void upstream_session::SettleWithoutReply() {
+  incarnation_->settled = true;
   owner_.OnCapacityChanged(*this);
 }
 
-void upstream_session::EndAll(run_end how) {
-  std::vector<run_over> ended = life_->TakeAllOver(clock_.now());
-  upstream_loss loss{{info_.id, life_->birth}, life_->gone, {}};
-  for (const run_over& over : ended)
-    loss.runs.push_back({over.task, over.begun});
-  if (life_->gone)
-    TellFoundAgain(true);
-  if (!ended.empty() && !missing_)
+void upstream_session::EndRuns(run_end how) {
+  std::vector<run_over> ended = incarnation_->RemoveEndedRuns(clock_.now());
+  upstream_loss loss{{info_.id, incarnation_->birth}, incarnation_->gone, {}};
+  for (const run_over& run : ended)
+    loss.runs.push_back({run.task, run.begun});
+  if (incarnation_->gone)
+    ReportFoundAgain(true);
+  if (!ended.empty() && !unreachable_loss_)
     owner_.OnLost(*this, loss);
-  if (!ended.empty() && !life_->gone)
-    AddMissing(loss);
-  for (const run_over& over : ended)
-    owner_.OnRunEnded(*this, over.task, over.run, how);
+  if (!ended.empty() && !incarnation_->gone)
+    AddUnreachableRuns(loss);
+  for (const run_over& run : ended)
+    owner_.OnRunEnded(*this, run.task, run.run, how);
 }
 
-void upstream_session::AddMissing(const upstream_loss& loss) {
-  if (!missing_)
-    missing_ = upstream_loss{loss.upstream, false, {}};
-  missing_->runs.insert(missing_->runs.end(), loss.runs.begin(),
-                        loss.runs.end());
+void upstream_session::AddUnreachableRuns(const upstream_loss& loss) {
+  if (!unreachable_loss_)
+    unreachable_loss_ = upstream_loss{loss.upstream, false, {}};
+  unreachable_loss_->runs.insert(unreachable_loss_->runs.end(),
+                                 loss.runs.begin(), loss.runs.end());
 }
 
-void upstream_session::TellFoundAgain(bool crashed) {
-  if (auto loss = std::exchange(missing_, std::nullopt))
+void upstream_session::ReportFoundAgain(bool crashed) {
+  if (auto loss = std::exchange(unreachable_loss_, std::nullopt))
     owner_.OnFoundAgain(*this, *loss, crashed);
 }
 
-void upstream_session::NoteLease(upstream_time until) {
-  life_->lease_end = std::max(life_->lease_end, until);
-  life_->given_until = std::max(life_->given_until, until);
-  WatchLease();
+void upstream_session::RecordRequestedLease(upstream_time until) {
+  incarnation_->lease_end = std::max(incarnation_->lease_end, until);
+  incarnation_->requested_lease_end =
+      std::max(incarnation_->requested_lease_end, until);
+  ScheduleLeasePoll();
 }
 
-void upstream_session::TakeEnds(const hold_reply& reply) {
-  // Also of runs that are unknown here: an earlier owner may have started
-  // them for a job that is still wanted.
-  for (const listed_end& end : life_->TakeEnds(reply))
+void upstream_session::ApplyEnds(const hold_reply& reply) {
+  // Ends of runs that are unknown here are reported too: an earlier owner may
+  // have started them for a job that is still wanted.
+  for (const listed_end& end : incarnation_->ApplyEnds(reply))
     owner_.OnRunEnded(*this, end.task, end.run, end.how);
 }
 
-void upstream_session::TakeRunning(const hold_reply& reply) {
-  std::vector<listed_run> strangers = life_->TakeRunning(reply, limits_);
+void upstream_session::ApplyRunning(const hold_reply& reply) {
+  std::vector<listed_run> unknown_runs =
+      incarnation_->ApplyRunning(reply, limits_);
   for (const listed_run& listed : reply.running) {
-    run_record* record = life_->runs.Find(listed.task);
+    run_record* record = incarnation_->runs.Find(listed.task);
     if (record && record->stop_wanted && listed.run >= record->run)
       SendStop(*record, listed.task);
   }
-  for (const listed_run& found : strangers)
+  for (const listed_run& found : unknown_runs)
     owner_.OnFound(*this, found.task, found.run);
 }
 
-void upstream_session::JudgeUnlisted(time_point sent, const hold_reply& reply) {
-  for (const run_over& over : life_->runs.Unlisted(sent, reply)) {
-    // Gone by what the owner did when told of another one.
-    if (!life_->runs.Find(over.task))
+void upstream_session::EndUnlistedRuns(time_point sent,
+                                       const hold_reply& reply) {
+  for (const run_over& run : incarnation_->runs.Unlisted(sent, reply)) {
+    // The owner's handling of another ended run may have removed this one.
+    if (!incarnation_->runs.Find(run.task))
       continue;
-    life_->runs.Remove(over.task);
-    if (over.never_began)
-      owner_.OnNotStarted(*this, over.task, over.run, start_result::kUnknown);
+    incarnation_->runs.Remove(run.task);
+    if (run.never_began)
+      owner_.OnNotStarted(*this, run.task, run.run, start_result::kUnknown);
     else
-      owner_.OnRunEnded(*this, over.task, over.run, run_end::kLapsed);
+      owner_.OnRunEnded(*this, run.task, run.run, run_end::kLapsed);
   }
 }
 
--- a/src/runs/upstream_session.h
+++ b/src/runs/upstream_session.h
@@ -1,5 +1,5 @@
-// One upstream under this instance's ownership: its clock, its lease, and all
-// that runs on it.
+// Session with one upstream that this instance owns: its clock, its lease and
+// its runs.
 
 #ifndef SRC_RUNS_UPSTREAM_SESSION_H_
 #define SRC_RUNS_UPSTREAM_SESSION_H_
@@ -20,31 +20,30 @@
 
 namespace jasminedyke {
 
-// Keeps one hold call waiting at the upstream at nearly all times: it prolongs
-// the lease, acknowledges ends and brings new ones as they happen. While
-// answers get lost there are two, or each lost one would hide all ends until it
-// times out.
+// Keeps a hold call waiting at the upstream nearly all the time. The hold
+// extends the lease, acknowledges ends and returns new ones as they happen.
+// While replies are being lost a second hold is kept, as each lost reply would
+// otherwise hide all ends until it times out.
 //
-// Behind one id there may be one incarnation of the upstream after another:
-// `incarnation_state`. The session stays, as its owner and the work that was
-// ordered of the earlier one do.
+// An upstream id may refer to a sequence of incarnations. The session outlives
+// them, as do its owner and the orders sent to earlier incarnations; the rest
+// is kept in `incarnation_state`.
 //
-// A run is over for us only when that is proven: the upstream listed its end,
-// or did not list it in answer to a hold sent when it could no longer begin,
-// or has not had its lease prolonged for longer than the lease, or another
-// incarnation answers or has registered. Until then its
-// task must not start anywhere else, or it could run twice at one time.
+// A run counts as over only when one of these proves it: the upstream listed
+// its end; the reply to a hold that was sent when the run could no longer start
+// did not list it; its lease has expired; another incarnation has replied or
+// registered. Until then its task must not be started elsewhere, or two runs of
+// it could overlap.
 //
-// A start that stays unanswered is looked for after a moment; one that is not
-// there is stopped, since a stopped run number can never begin. That proves
-// within a few answers' time what the order's own time limit would prove much
-// later.
+// If a start stays unanswered, a poll checks for the run soon after. A run that
+// is not listed is stopped, as a stopped run number can never start. This gives
+// the proof within a few round trips, long before the order's time limit.
 class upstream_session {
  public:
   using limits = lease_limits;
 
-  // Told of the session's runs. Calls of the session from within these
-  // functions are allowed; destroying it is not.
+  // Receives the events of the session. The functions may call the session, but
+  // must not destroy it.
   class owner {
    public:
     virtual ~owner() = default;
@@ -52,29 +51,32 @@
                             const task_name& task,
                             run_number run,
                             run_end how) = 0;
-    // The end of each run follows.
+    // Runs were lost with the upstream. `OnRunEnded` follows for each of them,
+    // immediately if its end is proven already.
     virtual void OnLost(upstream_session& session,
                         const upstream_loss& loss) = 0;
-    // What became of an upstream that was out of reach.
+    // An upstream that was unreachable replies again, or is known to have
+    // crashed.
     virtual void OnFoundAgain(upstream_session& session,
                               const upstream_loss& loss,
                               bool crashed) = 0;
-    // The upstream crashed and is back under its id, as another incarnation.
-    // What is lost with the earlier one follows.
+    // The upstream has crashed and restarted under the same id. `OnLost`
+    // follows if runs were lost with the earlier incarnation.
     virtual void OnReborn(upstream_session& session) = 0;
-    // Proven never to have begun; `why` is what the upstream said.
+    // The run is proven never to have started; `why` is the reply to its start,
+    // or `kUnknown`.
     virtual void OnNotStarted(upstream_session& session,
                               const task_name& task,
                               run_number run,
                               start_result why) = 0;
-    // A run of an earlier owner. It must be adopted or stopped; until then
-    // nothing on this upstream is prolonged.
+    // A run of an earlier owner was found. The lease is not extended until the
+    // run is adopted or stopped.
     virtual void OnFound(upstream_session& session,
                          const task_name& task,
                          run_number run) = 0;
-    // Room may have changed, or the session became usable.
+    // `room()` may have changed, or the session has become usable.
     virtual void OnCapacityChanged(upstream_session& session) = 0;
-    // The upstream has seen a higher token than ours.
+    // The upstream has seen a higher token than the session's.
     virtual void OnFenced(upstream_session& session) = 0;
   };
 
@@ -82,90 +84,100 @@
                    upstream_port& port,
                    const upstream_info& info,
                    fencing_token token,
-                   const limits& bounds,
+                   const limits& session_limits,
                    answer_times& times,
-                   owner& told);
+                   owner& session_owner);
   ~upstream_session();
   upstream_session(const upstream_session&) = delete;
   upstream_session& operator=(const upstream_session&) = delete;
 
   const upstream_info& info() const { return info_; }
-  // As it registers now. Another birth is another incarnation.
+  // Applies a new registration. A later birth begins another incarnation; a
+  // registration of an earlier one is ignored.
   void SetInfo(const upstream_info& info);
-  // The most of each that it ever had: what has shrunk may grow again.
+  // The maximum of each resource in all registrations of the incarnation, as
+  // capacity that has shrunk may grow again.
   const resource_amount& largest_capacity() const { return largest_capacity_; }
   void SetToken(fencing_token token) { token_ = token; }
 
-  // Only if `usable()` and `need` fits into `room()`.
+  // Must be called only if `usable()` and if `need` fits into `room()`.
   void Start(const task_name& task,
              run_number run,
              const std::string& spec,
              const resource_amount& need,
              const std::optional<start_delegate>& delegate = std::nullopt);
-  // Also of a run that was found, or whose start has no answer yet.
+  // Stops the task's run, also one that was found or whose start is
+  // unanswered.
   void Stop(const task_name& task);
-  // Takes over a found run as if it had been started here.
+  // Takes over a found run as if this session had started it.
   void Adopt(const task_name& task, const resource_amount& need);
 
-  // What runs there is known, or can't be running any more.
-  bool settled() const { return life_->settled; }
-  // Can be given tasks now.
+  // Whether it is known what runs there, or that nothing can run any more.
+  bool settled() const { return incarnation_->settled; }
+  // Whether tasks can be started now.
   bool usable() const;
   // Capacity that no run occupies or may occupy.
   resource_amount room() const {
-    return info_.capacity - life_->runs.occupied();
+    return info_.capacity - incarnation_->runs.occupied();
   }
-  bool idle() const { return life_->runs.empty(); }
-  bool gone() const { return life_->gone; }
-  // Of the present incarnation.
+  bool idle() const { return incarnation_->runs.empty(); }
+  bool gone() const { return incarnation_->gone; }
+  // Whether a call to the current incarnation went unanswered at or after
+  // `since`.
   bool HasUnansweredCallSince(time_point since) const {
-    return life_->last_unanswered && *life_->last_unanswered >= since;
+    return incarnation_->last_unanswered_call &&
+           *incarnation_->last_unanswered_call >= since;
   }
-  // Nothing if it was not listed yet, or without its progress.
+  // Empty if the run has not been listed with its progress.
   std::optional<run_progress> Progress(const task_name& task) const;
-  // Asks for the lists at once.
-  void Poll() { SendLook(); }
+  // Requests the lists of running and ended runs immediately.
+  void Poll() { SendPoll(); }
 
  private:
-  void TakeRegisteredBirth();
-  void BeginLife(upstream_birth birth);
-  void SendHold(waiting_hold& hold);
-  // Beside a hold that waits: when the lease would run out before it returns,
-  // or to learn what became of a start.
-  void SendLook();
-  // Also notes the lease that the order brings.
-  hold_order MakeHold();
-  answer_of WhoseAnswer(time_point sent, const hold_reply& reply);
-  void OnLooked(time_point sent, const hold_reply& reply);
-  void OnLookFailed(time_point sent);
+  void ApplyRegisteredBirth();
+  void BeginIncarnation(upstream_birth birth);
+  void SendHold(hold_call& hold);
+  // Sends a hold that does not wait, in addition to the waiting one: when the
+  // lease would expire before that returns, or to check unanswered starts.
+  void SendPoll();
+  // Also records the lease that the order requests.
+  hold_order MakeHoldOrder();
+  // Returns which incarnation has replied; begins it if it is a later one.
+  reply_source ResolveReplySource(time_point sent, const hold_reply& reply);
+  void OnPollReply(time_point sent, const hold_reply& reply);
+  void OnPollFailed(time_point sent);
   duration RetryPause() const;
-  void NextHold(waiting_hold& hold, bool any_end);
-  void SendSpareHold();
-  void WatchLease();
-  void OnAnswered(waiting_hold& hold, time_point sent, const hold_reply& reply);
-  void OnHeld(waiting_hold& hold, time_point sent, const hold_reply& reply);
-  void TakeHold(time_point sent, const hold_reply& reply);
-  void OnHoldFailed(waiting_hold& hold, time_point sent, call_result result);
-  void NoteUnanswered() { life_->last_unanswered = clock_.now(); }
-  void WatchStarts(duration pause);
+  void ScheduleNextHold(hold_call& hold, bool any_end);
+  void SendSecondHold();
+  void ScheduleLeasePoll();
+  void OnHoldReply(hold_call& hold, time_point sent, const hold_reply& reply);
+  void OnHoldAnswered(hold_call& hold,
+                      time_point sent,
+                      const hold_reply& reply);
+  void ApplyReply(time_point sent, const hold_reply& reply);
+  void OnHoldFailed(hold_call& hold, time_point sent, call_result result);
+  void RecordUnansweredCall() {
+    incarnation_->last_unanswered_call = clock_.now();
+  }
+  void ScheduleStartCheck(duration pause);
   void CheckStarts();
-  void RefuseUnlistedStarts(time_point sent, const hold_reply& reply);
-  void TakeEnds(const hold_reply& reply);
-  void TakeRunning(const hold_reply& reply);
-  void JudgeUnlisted(time_point sent, const hold_reply& reply);
+  void StopUnlistedStarts(time_point sent, const hold_reply& reply);
+  void ApplyEnds(const hold_reply& reply);
+  void ApplyRunning(const hold_reply& reply);
+  void EndUnlistedRuns(time_point sent, const hold_reply& reply);
   void OnStarted(const task_name& task,
                  run_number run,
                  time_point sent,
                  const start_reply& reply);
-  void NoteSeen(run_record& record, const start_reply& reply);
+  void UpdateSeen(run_record& record, const start_reply& reply);
   void SendStop(run_record& record, const task_name& task);
   void OnStopAnswered(run_record& record, call_result result);
-  void SettleWithoutAnswer();
+  void SettleWithoutReply();
   void CheckLapse();
-  void EndAll(run_end how);
-  void AddMissing(const upstream_loss& loss);
-  void TellFoundAgain(bool crashed);
-  void NoteLease(upstream_time until);
+  void EndRuns(run_end how);
+  void AddUnreachableRuns(const upstream_loss& loss);
+  void ReportFoundAgain(bool crashed);
+  void RecordRequestedLease(upstream_time until);
 
   scheduler& clock_;
   upstream_port& port_;
@@ -173,15 +185,17 @@
   resource_amount largest_capacity_;
   fencing_token token_;
   limits limits_;
-  // Of all upstreams of the home.
+  // Reply times of all upstreams of the home.
   answer_times& times_;
   owner& owner_;
-  // When the upstream went out of reach, until it is heard of again.
-  std::optional<upstream_loss> missing_;
-  time_point begun_;
-  std::unique_ptr<incarnation_state> life_;
-  // Answers to calls of earlier ones are not taken.
-  int lives_ = 0;
+  // The runs that were lost when the upstream became unreachable, until it
+  // replies again or is known to have crashed.
+  std::optional<upstream_loss> unreachable_loss_;
+  time_point created_at_;
+  std::unique_ptr<incarnation_state> incarnation_;
+  // Number of the current incarnation. Replies to calls of earlier ones are
+  // ignored.
+  int incarnation_number_ = 0;
 };
 
 }  // namespace jasminedyke
