--- a/src/runs/incarnation_state.cc
+++ b/src/runs/incarnation_state.cc
@@ -163,14 +163,14 @@
 }
 
 std::vector<run_over> incarnation_state::RemoveEndedRuns(time_point now) {
-  std::vector<run_over> ended;
+  std::vector<run_over> ended_runs;
   for (const auto& [task, record] : runs.all()) {
     if (!MayStartLater(record, now))
-      ended.push_back({task, record.run, false, record.seen});
+      ended_runs.push_back({task, record.run, false, record.seen});
   }
-  for (const run_over& run : ended)
-    runs.Remove(run.task);
-  return ended;
+  for (const run_over& ended_run : ended_runs)
+    runs.Remove(ended_run.task);
+  return ended_runs;
 }
 
 }  // namespace jasminedyke
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -98,7 +98,7 @@
 
 // Ends the runs that are known to have started in the earlier incarnation. A
 // run whose start was not answered may have run there, and its order may still
-// reach the new incarnation: that run is run only once the new one refuses it.
+// reach the new incarnation: that run is over only once the new one refuses it.
 void upstream_session::BeginIncarnation(upstream_birth birth) {
   incarnation_->LogBirth(info_.id, "upstream_reborn", birth);
   // Discards the replies to earlier calls.
@@ -570,16 +570,16 @@
 void upstream_session::EndRuns(run_end how) {
   std::vector<run_over> ended = incarnation_->RemoveEndedRuns(clock_.now());
   upstream_loss loss{{info_.id, incarnation_->birth}, incarnation_->gone, {}};
-  for (const run_over& run : ended)
-    loss.runs.push_back({run.task, run.begun});
+  for (const run_over& ended_run : ended)
+    loss.runs.push_back({ended_run.task, ended_run.begun});
   if (incarnation_->gone)
     ReportFoundAgain(true);
   if (!ended.empty() && !unreachable_loss_)
     owner_.OnLost(*this, loss);
   if (!ended.empty() && !incarnation_->gone)
     AddUnreachableRuns(loss);
-  for (const run_over& run : ended)
-    owner_.OnRunEnded(*this, run.task, run.run, how);
+  for (const run_over& ended_run : ended)
+    owner_.OnRunEnded(*this, ended_run.task, ended_run.run, how);
 }
 
 void upstream_session::AddUnreachableRuns(const upstream_loss& loss) {
@@ -622,15 +622,16 @@
 
 void upstream_session::EndUnlistedRuns(time_point sent,
                                        const hold_reply& reply) {
-  for (const run_over& run : incarnation_->runs.Unlisted(sent, reply)) {
+  for (const run_over& ended_run : incarnation_->runs.Unlisted(sent, reply)) {
     // The owner's handling of another ended run may have removed this one.
-    if (!incarnation_->runs.Find(run.task))
+    if (!incarnation_->runs.Find(ended_run.task))
       continue;
-    incarnation_->runs.Remove(run.task);
-    if (run.never_began)
-      owner_.OnNotStarted(*this, run.task, run.run, start_result::kUnknown);
+    incarnation_->runs.Remove(ended_run.task);
+    if (ended_run.never_began)
+      owner_.OnNotStarted(*this, ended_run.task, ended_run.run,
+                          start_result::kUnknown);
     else
-      owner_.OnRunEnded(*this, run.task, run.run, run_end::kLapsed);
+      owner_.OnRunEnded(*this, ended_run.task, ended_run.run, run_end::kLapsed);
   }
 }
 
