--- a/tests/upstream_session/upstream_rebirth_test.cc
+++ b/tests/upstream_session/upstream_rebirth_test.cc
@@ -1,5 +1,6 @@
-// An upstream that crashes and is back under its id: what is over, what is not
-// proven yet, and that nothing of one incarnation is taken for another's.
+// Tests of sessions whose upstream crashes and restarts under the same id:
+// which runs are over, which may not be, and that the state of two incarnations
+// is kept apart.
 
 #include <memory>
 #include <string>
@@ -26,15 +27,15 @@
   return task;
 }
 
-hold_reply TellsAt(upstream_birth birth,
-                   int64_t clock_ms,
-                   std::vector<listed_run> running = {}) {
+hold_reply ListedAtWithBirth(upstream_birth birth,
+                             int64_t clock_ms,
+                             std::vector<listed_run> running = {}) {
   hold_reply reply = ListedAt(clock_ms, std::move(running));
   reply.birth = birth;
   return reply;
 }
 
-// The upstream tells its birth, and its tasks take a second.
+// The upstream includes its birth in replies, and its tasks take one second.
 struct rebirth_fixture : session_fixture {
   rebirth_fixture() {
     upstream->birth = kFirst;
@@ -45,7 +46,7 @@
     Open();
   }
 
-  // Runs `task` until a hold has listed it.
+  // Starts `task` and waits until a hold has listed it.
   void RunListed(const task_name& task) {
     Start(task);
     clock.Advance(milliseconds(60));
@@ -56,18 +57,18 @@
     session->SetInfo(Info());
   }
 
-  void CutOff(bool cut) {
-    fleet.fate = [cut](const upstream_id&, const std::string&) {
-      return cut ? call_fate::kRequestLost : call_fate::kAnswered;
+  void SetUnreachable(bool unreachable) {
+    fleet.fate = [unreachable](const upstream_id&, const std::string&) {
+      return unreachable ? call_fate::kRequestLost : call_fate::kAnswered;
     };
   }
 };
 
 }  // namespace
 
-TEST_CASE("an upstream that is back before its registration lapsed") {
-  // Taken for the old one, it would hold the tasks of the old one until their
-  // leases ran out.
+TEST_CASE("an upstream that restarts before its registration lapses") {
+  // If the new incarnation were taken for the old one, tasks lost in the crash
+  // would count as running until their lease expired.
   rebirth_fixture f;
   f.RunListed(kTask);
   f.upstream->Rebirth(kSecond);
@@ -78,15 +79,15 @@
   CHECK(f.log.lost_crashed);
   CHECK(f.log.reborn == 1);
   CHECK(f.session->idle());
-  // It may be of another kind.
+  // The capacity of the new incarnation is unknown until it registers.
   CHECK(!f.session->usable());
   f.Register(kSecond);
   CHECK(f.log.reborn == 1);
   CHECK(f.session->usable());
 }
 
-TEST_CASE("a registration is the first to tell of an incarnation") {
-  // The proof must not wait for a call that happens to fail.
+TEST_CASE("a registration reveals a new incarnation first") {
+  // The end of the old runs must not be delayed until a call fails.
   rebirth_fixture f;
   f.RunListed(kTask);
   f.upstream->Rebirth(kSecond);
@@ -117,11 +118,11 @@
   CHECK(f.log.ends[2].second == run_end::kDone);
 }
 
-TEST_CASE("an upstream that crashes and returns behind a cut") {
-  // Its registration proves the crash before a lease has run out.
+TEST_CASE("an upstream that crashes and restarts while it is unreachable") {
+  // Its registration proves the crash before the lease has expired.
   rebirth_fixture f;
   f.RunListed(kTask);
-  f.CutOff(true);
+  f.SetUnreachable(true);
   f.upstream->Rebirth(kSecond);
   f.clock.Advance(milliseconds(200));
   CHECK(f.log.ends.empty());
@@ -130,31 +131,32 @@
   CHECK(f.log.lost_crashed);
   f.clock.Advance(milliseconds(3000));
   CHECK(!f.session->usable());
-  f.CutOff(false);
+  f.SetUnreachable(false);
   f.clock.Advance(milliseconds(1500));
   CHECK(f.session->usable());
   CHECK(f.log.ends.size() == 1);
 }
 
-TEST_CASE("a crash that is learnt after the cut") {
-  // The runs were told as lost; that they were lost by a crash comes later.
+TEST_CASE("a crash that is learnt when the upstream is reachable again") {
+  // The runs have been reported as lost; the crash is reported later.
   rebirth_fixture f;
   f.RunListed(kTask);
-  f.CutOff(true);
+  f.SetUnreachable(true);
   f.clock.Advance(milliseconds(3000));
   REQUIRE(f.log.ends.size() == 1);
   CHECK(!f.log.lost_crashed);
   f.upstream->Rebirth(kSecond);
-  f.CutOff(false);
+  f.SetUnreachable(false);
   f.clock.Advance(milliseconds(1500));
   CHECK(f.log.found_again == std::vector{kTask});
   CHECK(f.log.found_crashed);
   CHECK(f.log.ends.size() == 1);
 }
 
-TEST_CASE("a list of ends that starts anew") {
-  // With the old one's number kept, the first ends of the new one would count
-  // as told, and the acknowledgement would have it forget them.
+TEST_CASE("a list of ends that restarts") {
+  // If the old list's sequence number were kept, the first ends of the new list
+  // would be taken for duplicates, and acknowledging the number would make the
+  // upstream remove them.
   rebirth_fixture f;
   f.upstream->plan = [](const task_name&) {
     return std::pair<duration, run_end>(milliseconds(20), run_end::kDone);
@@ -164,18 +166,18 @@
     f.clock.Advance(milliseconds(30));
   }
   REQUIRE(f.log.ends.size() == 5);
-  bool lose = false;
+  bool lose_replies = false;
   SUBCASE("") {}
-  SUBCASE("while answers get lost") {
-    lose = true;
+  SUBCASE("while replies are lost") {
+    lose_replies = true;
   }
   f.upstream->Rebirth(kSecond);
   f.Register(kSecond);
   f.clock.Advance(milliseconds(10));
   int call = 0;
   f.fleet.fate = [&](const upstream_id&, const std::string&) {
-    return lose && ++call % 2 == 0 ? call_fate::kReplyLost
-                                   : call_fate::kAnswered;
+    return lose_replies && ++call % 2 == 0 ? call_fate::kReplyLost
+                                           : call_fate::kAnswered;
   };
   for (uint32_t i = 10; i < 13; ++i) {
     while (!f.session->usable())
@@ -186,20 +188,21 @@
   REQUIRE(f.log.ends.size() == 8);
   for (const auto& [task, how] : f.log.ends)
     CHECK(how == run_end::kDone);
-  f.CutOff(false);
+  f.SetUnreachable(false);
   f.clock.Advance(milliseconds(1500));
   CHECK(f.upstream->ended.empty());
 }
 
-TEST_CASE("no acknowledgement goes to whoever may be the next incarnation") {
-  // After a call without an answer another incarnation may get the next one.
-  // With the old one's number it would forget ends of its own unseen.
+TEST_CASE("no acknowledgement is sent to a possible new incarnation") {
+  // After an unanswered call another incarnation may receive the next one. The
+  // old incarnation's sequence number would make it remove ends of its own that
+  // the owner has not received.
   session_fixture f;
   f.Info().birth = kFirst;
   scripted_port port;
   upstream_session session(f.clock, port, f.Info(), fencing_token(1),
                            upstream_session::limits(), f.times, f.log);
-  hold_reply with_end = TellsAt(kFirst, 1000);
+  hold_reply with_end = ListedAtWithBirth(kFirst, 1000);
   with_end.ended.push_back({7, kTask, run_number(1), run_end::kDone});
   port.holds.at(0)(with_end);
   f.clock.Advance(milliseconds(1001));
@@ -209,14 +212,14 @@
   f.clock.Advance(milliseconds(100));
   REQUIRE(port.orders.size() == 3);
   CHECK(port.orders[2].acknowledged == 0);
-  port.holds.at(2)(TellsAt(kFirst, 2100));
+  port.holds.at(2)(ListedAtWithBirth(kFirst, 2100));
   f.clock.Advance(milliseconds(1));
   CHECK(port.orders.back().acknowledged == 7);
 }
 
-TEST_CASE("leases and time limits are reckoned on the new clock") {
-  // On the old one's, orders would have a limit that lies hours ahead, and no
-  // lease would ever count as over.
+TEST_CASE("leases and time limits are computed for the new clock") {
+  // If they were computed for the old clock, orders would have a time limit
+  // that is hours ahead on the new one, and leases would not expire.
   rebirth_fixture f;
   f.clock.Advance(std::chrono::hours(2));
   f.upstream->Rebirth(kSecond);
@@ -224,29 +227,30 @@
   f.clock.Advance(milliseconds(20));
   f.RunListed(kTask);
   CHECK(f.upstream->lease_end.ms - f.upstream->Clock().ms <= 1001);
-  f.CutOff(true);
+  f.SetUnreachable(true);
   f.clock.Advance(milliseconds(2500));
   REQUIRE(f.log.ends.size() == 1);
   f.upstream->Settle();
   CHECK(f.upstream->running.empty());
 }
 
-TEST_CASE(
-    "an answer of the old incarnation that arrives after one of the new") {
-  // It would bring back runs that are dead and ends that are not to be counted
-  // on, and its clock would be taken for the new one's.
+TEST_CASE("a reply of the old incarnation that arrives after one of the new") {
+  // If it were applied, ended runs would be added again, ends of the old
+  // incarnation would be accepted, and its clock would be taken for the new
+  // one.
   session_fixture f;
   f.Info().birth = kFirst;
   scripted_port port;
   upstream_session session(f.clock, port, f.Info(), fencing_token(1),
                            upstream_session::limits(), f.times, f.log);
-  port.holds.at(0)(TellsAt(kFirst, 50'000));
+  port.holds.at(0)(ListedAtWithBirth(kFirst, 50'000));
   session.Start(kTask, run_number(1), "10000", kNeed);
   f.clock.Advance(milliseconds(40));
   REQUIRE(port.holds.size() == 3);
-  port.holds.at(2)(TellsAt(kSecond, 100));
+  port.holds.at(2)(ListedAtWithBirth(kSecond, 100));
   CHECK(f.log.reborn == 1);
-  hold_reply old = TellsAt(kFirst, 50'030, {{kTask, run_number(1), {}}});
+  hold_reply old =
+      ListedAtWithBirth(kFirst, 50'030, {{kTask, run_number(1), {}}});
   old.ended.push_back({9, Task(2), run_number(1), run_end::kDone});
   port.holds.at(1)(old);
   CHECK(f.log.reborn == 1);
@@ -254,11 +258,12 @@
   CHECK(f.log.found.empty());
 }
 
-TEST_CASE(
-    "an order for the old incarnation that the new one carries out late") {
-  // Its time limit lies in the new clock's future, and the new one has seen no
-  // token. The task must not start elsewhere before the new one has refused its
-  // run, and "not run" would be a lie: the old one may have begun it.
+TEST_CASE("an order for the old incarnation that the new one executes late") {
+  // The order's time limit is in the future on the new clock, and the new
+  // incarnation has seen no token that would fence the order. The task must not
+  // start elsewhere before the new incarnation has refused the run. The run
+  // must not be reported as never started, as the old incarnation may have
+  // started it.
   rebirth_fixture f;
   f.clock.Advance(std::chrono::hours(1));
   f.fleet.late = milliseconds(700);
@@ -268,8 +273,8 @@
                                        : call_fate::kAnswered;
   };
   bool stops_arrive = true;
-  SUBCASE("after it was told to refuse it") {}
-  SUBCASE("before that") {
+  SUBCASE("after it has confirmed the stop") {}
+  SUBCASE("before it has confirmed the stop") {
     stops_arrive = false;
   }
   f.port.lose_stops = [&] { return !stops_arrive; };
@@ -289,8 +294,9 @@
         (stops_arrive ? run_end::kLapsed : run_end::kDone));
 }
 
-TEST_CASE("an order that may reach the next incarnation behind a cut") {
-  // The lease on the old clock says nothing of it.
+TEST_CASE("an order that may reach an unreachable new incarnation") {
+  // The expiry of the lease on the old clock does not prove that the run is
+  // over.
   rebirth_fixture f;
   f.clock.Advance(std::chrono::hours(1));
   f.fleet.late = milliseconds(5000);
@@ -298,21 +304,22 @@
     return call_fate::kDelayed;
   };
   f.Start(kTask);
-  f.CutOff(true);
+  f.SetUnreachable(true);
   f.clock.Advance(milliseconds(1000));
   f.upstream->Rebirth(kSecond);
   f.clock.Advance(milliseconds(4100));
   CHECK(f.log.ends.empty());
   REQUIRE(f.upstream->running.size() == 1);
-  f.CutOff(false);
+  f.SetUnreachable(false);
   f.clock.Advance(milliseconds(3000));
   REQUIRE(f.log.ends.size() == 1);
   CHECK(f.upstream->running.empty());
 }
 
-TEST_CASE("a start that the new incarnation answers") {
-  // Known as begun by its start's answer alone, it must not count as lost with
-  // the old one when a registration tells of the new one.
+TEST_CASE("a start that the new incarnation executes") {
+  // Only the reply to the start shows that the run has started. The run must
+  // not count as lost with the old incarnation when the new one's registration
+  // arrives.
   rebirth_fixture f;
   f.clock.Advance(milliseconds(400));
   f.upstream->Rebirth(kSecond);
@@ -328,7 +335,7 @@
   CHECK(f.log.ends[0].second == run_end::kDone);
 }
 
-TEST_CASE("a home that meets an incarnation its predecessor did not know") {
+TEST_CASE("a home that finds an incarnation unknown to its predecessor") {
   rebirth_fixture f;
   f.RunListed(kTask);
   f.session.reset();
@@ -344,7 +351,7 @@
   CHECK(f.upstream->highest_token == fencing_token(2));
 }
 
-TEST_CASE("births that are told wrongly") {
+TEST_CASE("incorrect births") {
   rebirth_fixture f;
   f.RunListed(kTask);
   SUBCASE("a registration that is read late") {
@@ -360,7 +367,7 @@
     CHECK(f.log.ends.empty());
     CHECK(f.log.reborn == 1);
   }
-  SUBCASE("missing in one of two answers") {
+  SUBCASE("missing in some replies") {
     f.upstream->birth = upstream_birth();
     f.clock.Advance(milliseconds(320));
     f.upstream->birth = kFirst;
@@ -378,7 +385,7 @@
     CHECK(f.log.ends.empty());
     CHECK(f.log.reborn == 0);
   }
-  SUBCASE("by an incarnation whose time of day was set back") {
+  SUBCASE("of an incarnation whose time of day was set back") {
     f.upstream->Rebirth(upstream_birth(kFirst.value() - 5000));
     f.clock.Advance(milliseconds(100));
     f.Register(upstream_birth(kFirst.value() - 5000));
@@ -389,8 +396,9 @@
   }
 }
 
-TEST_CASE("an instance of an older release passes on no births") {
-  // The runs there must not count as lost when the store's row tells one.
+TEST_CASE("an instance of an older release omits births") {
+  // The runs must not count as lost when the store's row later contains a
+  // birth.
   rebirth_fixture f;
   f.session.reset();
   f.Info().birth = upstream_birth();
--- a/tests/upstream_session/upstream_session_test.cc
+++ b/tests/upstream_session/upstream_session_test.cc
@@ -1,4 +1,5 @@
-// One upstream under ownership: what counts as proof that a run is over.
+// Tests of upstream sessions: leases, lost replies, and what proves that a run
+// is over.
 
 #include <memory>
 #include <optional>
@@ -18,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("a run's end is told once and acknowledged") {
+TEST_CASE("a run's end is reported once and acknowledged") {
   session_fixture f;
   f.Open();
   REQUIRE(f.session->usable());
@@ -33,7 +34,7 @@
   CHECK(f.upstream->ended.empty());
 }
 
-TEST_CASE("a long run's lease is kept alive") {
+TEST_CASE("a long run's lease is extended") {
   session_fixture f;
   f.upstream->plan = [](const task_name&) {
     return std::pair<duration, run_end>(milliseconds(5000), run_end::kDone);
@@ -45,12 +46,12 @@
   CHECK(f.log.ends[0].second == run_end::kDone);
 }
 
-TEST_CASE("a start whose answer is lost") {
-  // The caller's task was started, or not, and no answer comes. The session
-  // must not say "not started" before the order can't take effect any more,
-  // since its own time is over or the upstream has confirmed to refuse the run,
-  // and a hold shows that it is not there; otherwise the task would start
-  // elsewhere and could run twice at one time.
+TEST_CASE("a start whose reply is lost") {
+  // The session must not report the run as not started while the order may
+  // still take effect, or the task would start elsewhere and could run twice at
+  // a time. It must wait until the order's time limit has passed or the
+  // upstream has confirmed the stop, and a hold then shows that the run is not
+  // there.
   session_fixture f;
   f.Open();
   call_fate fate = call_fate::kDelayed;
@@ -60,8 +61,8 @@
   SUBCASE("because the order never arrived") {
     fate = call_fate::kRequestLost;
   }
-  SUBCASE("because it arrives after seconds") {}
-  SUBCASE("and so are the orders to stop it") {
+  SUBCASE("because the order arrives after seconds") {}
+  SUBCASE("and stop orders are lost too") {
     stops_arrive = false;
     not_before = milliseconds(480);
     by = milliseconds(1250);
@@ -84,9 +85,9 @@
   CHECK(f.log.ends.empty());
 }
 
-TEST_CASE("a start whose answer is lost after it took effect") {
-  // No answer comes, but the run is listed: it counts as started, and its end
-  // is told like any other.
+TEST_CASE("a start whose reply is lost after it took effect") {
+  // The run is listed, so it counts as started, and its end is reported like
+  // any other.
   session_fixture f;
   f.Open();
   bool first = true;
@@ -101,11 +102,11 @@
   CHECK(f.log.ends[0].second == run_end::kDone);
 }
 
-TEST_CASE("ends are learnt in time while answers get lost") {
-  // Each tenth call has no answer. The hold that waits for a run's end is among
-  // them: without a second one, and looks, callers of short tasks wait until it
-  // times out. The grounds: 8 in 100 orders unanswered cost as much service as
-  // three times the usual load. Tasks of 50 ms, one after the other.
+TEST_CASE("ends are learnt in time while replies are lost") {
+  // One call in ten is lost, including holds that wait for a run's end. Without
+  // a second hold and polls, callers of short tasks would wait until the lost
+  // hold times out: 8 % of orders unanswered have cost as much service as three
+  // times the usual load. Runs tasks of 50 ms, one after the other.
   session_fixture f;
   f.Open();
   std::mt19937 random(7);
@@ -127,15 +128,16 @@
     f.log.ends.clear();
     f.log.not_started.clear();
   }
-  // Of ten starts nine are answered; the others are started anew by the owner.
+  // Nine starts in ten are answered; the owner would restart the other tasks.
   CHECK(in_time >= kTasks * 85 / 100);
 }
 
-TEST_CASE("a hold answered before a run began, and read after it was listed") {
-  // A task is started a second time while it runs. Two holds wait at once; one
-  // that was sent long ago lists a run that just began, and the other, sent
-  // later but answered before the run began, arrives afterwards without it. The
-  // run must not count as lapsed.
+TEST_CASE(
+    "a hold answered before a run started, and read after it was listed") {
+  // Guards against a second start of a task that still runs. Of two concurrent
+  // holds, the earlier one lists a run that has just started. The later one,
+  // which was answered before the run started, arrives afterwards without it.
+  // The run must not count as lapsed.
   session_fixture f;
   scripted_port port;
   upstream_session session(
@@ -155,10 +157,11 @@
 }
 
 TEST_CASE("an old listing of a task's earlier run") {
-  // A task is started a second time while it runs. Its first run was stopped
-  // and its second one ordered on the same upstream. Then a reply comes that
-  // was written while the first run was there. Taken for the second run's, it
-  // would make the next reply without it a proof that it is over.
+  // Guards against a second start of a task that still runs. The task's first
+  // run was stopped, and its second one was ordered on the same upstream. Then
+  // a reply arrives that was written while the first run was there. If it were
+  // taken for a listing of the second run, the next reply without that run
+  // would prove its end.
   session_fixture f;
   scripted_port port;
   upstream_session session(
@@ -176,7 +179,7 @@
   REQUIRE(f.log.ends.size() == 1);
   session.Start(kTask, run_number(2), "10000", kNeed);
   f.clock.Advance(milliseconds(1));
-  // As an answer was missing, two holds wait at the upstream.
+  // Two holds wait at the upstream, as a call went unanswered.
   REQUIRE(port.holds.size() == 5);
   port.holds.at(2)(ListedAt(1050, {{kTask, run_number(1), std::nullopt}}));
   f.clock.Advance(milliseconds(1));
@@ -188,10 +191,10 @@
   CHECK(f.log.not_started.empty());
 }
 
-TEST_CASE("replies that overtake each other show no stranger's runs") {
+TEST_CASE("replies out of order reveal no runs of an earlier owner") {
   // A reply that was written before a run's end may arrive after the one that
-  // brought the end. Taken for a run of an earlier owner, it would keep the
-  // upstream out of use.
+  // contains the end. If the run were taken for one of an earlier owner, the
+  // upstream would become unusable.
   session_fixture f;
   f.Open();
   std::mt19937 random(11);
@@ -212,9 +215,9 @@
   CHECK(f.log.ends.size() > 400);
 }
 
-TEST_CASE("an upstream that is cut off") {
-  // All calls are lost while a task runs. Only when the lease that was last
-  // given is over, also on a clock that is 2 % slow, is the run told as lapsed.
+TEST_CASE("an upstream that becomes unreachable") {
+  // All calls are lost while a task runs. The run must be reported as lapsed
+  // only when the last lease has expired, even on a clock that is 2 % slow.
   session_fixture f;
   f.upstream->plan = [](const task_name&) {
     return std::pair<duration, run_end>(milliseconds(60'000), run_end::kDone);
@@ -225,7 +228,7 @@
   f.fleet.fate = [](const upstream_id&, const std::string&) {
     return call_fate::kRequestLost;
   };
-  // The hold that waits now still answers; its lease began up to 0.4 s ago.
+  // The waiting hold is still answered; its lease began up to 0.4 s ago.
   while (f.log.ends.empty()) {
     f.upstream->Settle();
     f.clock.Advance(milliseconds(10));
@@ -237,9 +240,9 @@
 }
 
 TEST_CASE("the next owner of an upstream") {
-  // A home died while its task ran. Its successor must see the run, and must
-  // not prolong it before the run's job has claimed it: the job may have been
-  // sent again, and be running elsewhere.
+  // A home has failed while its task ran. Its successor must find the run, and
+  // must not extend its lease before the run's job has claimed it, as the job
+  // may have been submitted again and be running elsewhere.
   session_fixture f;
   f.upstream->plan = [](const task_name&) {
     return std::pair<duration, run_end>(milliseconds(3000), run_end::kDone);
@@ -248,7 +251,7 @@
   f.Start(kTask);
   f.clock.Advance(milliseconds(100));
   f.session.reset();
-  SUBCASE("that finds no claim lets it lapse") {
+  SUBCASE("that finds no claim lets the run lapse") {
     f.Open(2);
     REQUIRE(f.log.found.size() == 1);
     CHECK(!f.session->usable());
@@ -256,7 +259,7 @@
     CHECK(f.upstream->running.empty());
     CHECK(f.session->usable());
   }
-  SUBCASE("that finds a claim brings it to its end") {
+  SUBCASE("that finds a claim lets the run finish") {
     f.log.adopt = true;
     f.Open(2);
     f.clock.Advance(milliseconds(3000));
@@ -265,10 +268,10 @@
   }
 }
 
-TEST_CASE("a run of an earlier owner on an upstream that is then cut off") {
-  // The successor has seen the run and given no lease itself, but the earlier
-  // owner's last lease may have begun just before. The run counts as over only
-  // when that one is over too.
+TEST_CASE("a run of an earlier owner on an upstream that becomes unreachable") {
+  // The successor has found the run and has not requested a lease, but the
+  // earlier owner's last lease may have begun just before. The run must count
+  // as over only when that lease has expired.
   session_fixture f;
   f.upstream->plan = [](const task_name&) {
     return std::pair<duration, run_end>(milliseconds(60'000), run_end::kDone);
@@ -288,9 +291,9 @@
   CHECK(f.upstream->running.empty());
 }
 
-TEST_CASE("an owner that was replaced can do nothing") {
-  // A paused home wakes up after its successor has held the upstream: every
-  // call of its own is refused, and it is told so.
+TEST_CASE("calls of a replaced owner are refused") {
+  // A home resumes from a pause after its successor has sent holds. All its
+  // calls must be refused, and the session must report that it is fenced.
   session_fixture f;
   f.upstream->highest_token = fencing_token(9);
   f.Open(5);
@@ -301,7 +304,7 @@
 TEST_CASE("refusals of starts") {
   session_fixture f;
   f.Open();
-  SUBCASE("an unwell upstream gets nothing for a while") {
+  SUBCASE("an unwell upstream is given no starts for a while") {
     f.upstream->unwell = true;
     f.Start(kTask);
     f.clock.Advance(milliseconds(5));
@@ -311,7 +314,7 @@
     f.clock.Advance(milliseconds(250));
     CHECK(f.session->usable());
   }
-  SUBCASE("a run number that was used") {
+  SUBCASE("a run number that has been used") {
     f.upstream->refused_up_to[kTask] = run_number(3);
     f.Start(kTask);
     f.clock.Advance(milliseconds(5));
@@ -329,7 +332,7 @@
   }
 }
 
-TEST_CASE("a stop whose order is lost is repeated") {
+TEST_CASE("a lost stop order is sent again") {
   session_fixture f;
   f.upstream->plan = [](const task_name&) {
     return std::pair<duration, run_end>(milliseconds(60'000), run_end::kDone);
