--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -277,7 +277,7 @@
     return;
   task->last_run = std::max(task->last_run, run.value());
   job->may_have_run = true;
-  task->answers_lost = session.UnansweredSince(task->ordered_at);
+  task->answers_lost = session.HasUnansweredCallSince(task->ordered_at);
   if (ordered_here)
     RecordRunEnd(*job, *task, how);
   if (how != run_end::kDone && !task->stopping) {
@@ -445,7 +445,7 @@
   claims_.OnFound(session, name, task != nullptr);
 }
 
-void run_home::OnRoom(upstream_session&) {
+void run_home::OnCapacityChanged(upstream_session&) {
   QueueMaybeStarted();
   ScheduleDispatch();
 }
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -134,7 +134,7 @@
   if (judgement.ask_progress) {
     if (task.progress_asked_at < task.ordered_at)
       task.progress_asked_at = clock_.now();
-    session->Look();
+    session->Poll();
   }
   switch (judgement.condition) {
     case run_condition::kHealthy:
@@ -163,7 +163,7 @@
                      std::min(task.overlong_stops, kMaxRestartAllowances)));
   run.pace_known = job.MedianPaceExcluding(task.upstream) > 0;
   run.adopted = task.adopted;
-  run.submitted =
+  run.asked =
       task.progress_asked_at > task.ordered_at &&
       clock_.now() - task.progress_asked_at >= answers_.Timeout(kAnswerTime);
   auto progress = session.Progress({job.key, 0, task.demand.position});
--- a/src/runs/upstream_runs.cc
+++ b/src/runs/upstream_runs.cc
@@ -14,7 +14,7 @@
   if (!record.IsUnconfirmed())
     return record.since < sent;
   bool stopped = record.stop_confirmed_at && sent >= *record.stop_confirmed_at;
-  bool expired = !record.carried && IsOverAt(reply.clock, record.not_after);
+  bool expired = !record.carried && IsPast(reply.clock, record.not_after);
   return stopped || expired;
 }
 
