--- a/src/policy/slot_home.cc
+++ b/src/policy/slot_home.cc
@@ -9,24 +9,29 @@
 
 namespace {
 
-// How long a new home waits for full reports.
-constexpr duration kReportWait = std::chrono::milliseconds(300);
-// A holder that is silent for so long is taken for dead; its slots are granted
-// again. If it lives after all, the upstreams refuse what is too much.
-constexpr duration kHolderSilence = std::chrono::seconds(3);
-// Even without grants a holder with demand hears from the home this often.
-constexpr duration kSendGap = std::chrono::milliseconds(4);
-constexpr duration kTellWorkEvery = std::chrono::milliseconds(100);
-constexpr duration kSignOfLife = std::chrono::milliseconds(400);
-// One slot that others seemed to use is tried again after this.
-constexpr duration kOthersBelieved = std::chrono::seconds(1);
-constexpr duration kShareReserved = std::chrono::seconds(3);
-// Upstreams become usable by the mere passing of time; the wait between looks.
-constexpr duration kLookAgain = std::chrono::milliseconds(50);
-constexpr duration kLeavingBelieved = std::chrono::seconds(15);
-// Differences in speed below this are noise.
+// Maximum wait of a new home for full reports.
+constexpr duration kFullReportTimeout = std::chrono::milliseconds(300);
+// A holder that sends nothing for this long is considered dead and its slots
+// are granted again. If it is alive, the upstreams refuse the excess starts.
+constexpr duration kHolderTimeout = std::chrono::seconds(3);
+// Minimum interval between two messages to the same holder.
+constexpr duration kMinSendInterval = std::chrono::milliseconds(4);
+constexpr duration kWorkUpdateInterval = std::chrono::milliseconds(100);
+// Maximum interval between messages to a holder, checked whenever grants are
+// issued.
+constexpr duration kKeepaliveInterval = std::chrono::milliseconds(400);
+// The estimate of slots used by others falls by one after each such interval.
+constexpr duration kExternalUseDecayInterval = std::chrono::seconds(1);
+constexpr duration kReservationTime = std::chrono::seconds(3);
+// Interval between attempts to grant slots while tasks wait and slots are free:
+// time alone can make an upstream usable again.
+constexpr duration kGrantRetryInterval = std::chrono::milliseconds(50);
+constexpr duration kLeavingTimeout = std::chrono::seconds(15);
+// Upstreams whose slowness falls into the same step rank equally, as smaller
+// differences are noise.
 constexpr double kSlownessStep = 0.5;
-constexpr double kSlow = 1.7;
+// Upstreams at least this many times slower than expected count as slow.
+constexpr double kSlowThreshold = 1.7;
 
 }  // namespace
 
@@ -78,7 +83,7 @@
     return;
   active_ = true;
   started_ = clock_.now();
-  issue_timer_.StartAfter(kReportWait, [this] { Issue(); });
+  issue_timer_.StartAfter(kFullReportTimeout, [this] { Issue(); });
   DropSilentHolders();
 }
 
@@ -101,8 +106,8 @@
          h.unacknowledged.front().first <= demand.last_grant_sequence) {
     h.unacknowledged.pop_front();
   }
-  // A holder that never saw this home has a sequence of zero, also when this
-  // home knew it before a break of their link.
+  // A holder that is new to this home acknowledges sequence 0, also if this
+  // home knew it before their connection broke.
   if (demand.full_report)
     ApplyFullReport(h, demand);
   h.demand = demand;
@@ -113,9 +118,8 @@
   double now_s = ToSeconds(clock_.now().time_since_epoch());
   for (const demand_entry& entry : demand.waiting)
     h.waiting.push_back({entry, entry.rank + rule_.age_weight * now_s});
-  // Tasks that grants under way will start still counted as waiting when the
-  // holder sent this.
-  for (const granted_slot& slot : UnderWay(h)) {
+  // The demand still counts the tasks of unacknowledged grants as waiting.
+  for (const granted_slot& slot : UnacknowledgedGrants(h)) {
     ++h.running[slot.team];
     for (waiting_entry& entry : h.waiting) {
       if (entry.demand.team == slot.team && entry.demand.tasks > 0) {
@@ -141,9 +145,9 @@
     if (found == upstreams_.end())
       continue;
     if (slot.result == slot_result::kFull)
-      NoteRefusal(found->second);
+      RecordRefusal(found->second);
     if (slot.result == slot_result::kLeaving)
-      found->second.leaving_until = clock_.now() + kLeavingBelieved;
+      found->second.leaving_until = clock_.now() + kLeavingTimeout;
   }
   ScheduleIssue();
 }
@@ -169,31 +173,32 @@
   return total;
 }
 
-// All messages that are ready in one pass of the loop are answered together.
+// Defers granting until all messages of this event loop iteration are handled,
+// so that they are answered together.
 void slot_home::ScheduleIssue() {
   if (active_ && ReadyToGrant())
     issue_timer_.StartAfter(duration::zero(), [this] { Issue(); });
 }
 
 void slot_home::Issue() {
-  ForgetOthers();
+  DecayExternalUse();
   while (GrantOne()) {
   }
   SendOutgoing();
-  bool work_is_left = std::ranges::any_of(holders_, [](const auto& entry) {
+  bool tasks_wait = std::ranges::any_of(holders_, [](const auto& entry) {
     return std::ranges::any_of(
         entry.second.waiting,
         [](const waiting_entry& e) { return e.demand.tasks > 0; });
   });
-  if (work_is_left && free_slots() > 0)
-    issue_timer_.StartAfter(kLookAgain, [this] { Issue(); });
+  if (tasks_wait && free_slots() > 0)
+    issue_timer_.StartAfter(kGrantRetryInterval, [this] { Issue(); });
 }
 
 void slot_home::SendOutgoing() {
   time_point next = time_point::max();
   for (auto& [id, h] : holders_) {
-    bool sign_of_life_due = clock_.now() - h.last_sent >= kSignOfLife;
-    if (h.outgoing.empty() && !sign_of_life_due)
+    bool keepalive_due = clock_.now() - h.last_sent >= kKeepaliveInterval;
+    if (h.outgoing.empty() && !keepalive_due)
       continue;
     time_point when = SendTime(id, h);
     if (when <= clock_.now())
@@ -205,11 +210,11 @@
     send_timer_.StartAt(next, [this] { SendOutgoing(); });
 }
 
-// A message soon after the last one waits a little, so that a busy home puts
-// more grants into each; after a pause it goes at once. To itself a home sends
-// no bytes.
+// Returns when the next message to a holder may be sent. The minimum interval
+// lets a busy home batch grants; after a pause a message is sent at once. There
+// is no interval for the home's own instance, which needs no network message.
 time_point slot_home::SendTime(const instance_id& to, const holder& h) const {
-  return to == self_ ? clock_.now() : h.last_sent + kSendGap;
+  return to == self_ ? clock_.now() : h.last_sent + kMinSendInterval;
 }
 
 bool slot_home::GrantOne() {
@@ -219,7 +224,8 @@
     demand_entry& demand = best->entry->demand;
     upstream_id upstream = BestUpstream(h, demand.memory_mb);
     if (upstream.empty()) {
-      // Others may have room in their share of connections or need less.
+      // Other holders may have connections left, and other tasks may need less
+      // memory.
       skip.insert(best->entry);
       continue;
     }
@@ -257,16 +263,16 @@
   return best;
 }
 
-// Those that did not just fail first, then the fastest, then the least loaded:
-// a straggling upstream gets work only when the others are full, and a request
-// that is repeated goes elsewhere.
+// Prefers upstreams whose last attempt did not fail, then the fastest, then the
+// least loaded. So a slow upstream gets work only when the others are full, and
+// a retried request goes to another upstream.
 upstream_id slot_home::BestUpstream(const holder& h, int memory_mb) const {
   const upstream_slots* best = nullptr;
   upstream_id best_id;
   std::tuple<bool, double, double> best_cost;
   for (const auto& [id, slots] : upstreams_) {
     if (slots.info.memory_mb < memory_mb || !HasRoom(h, slots) ||
-        !WorthItsSlowness(id)) {
+        !IsWorthUsingWhenSlow(id)) {
       continue;
     }
     double step =
@@ -283,16 +289,16 @@
   return best_id;
 }
 
-// A task on an upstream that is k times slow ends later than one that waits
-// for a normal slot, unless more than k - 1 tasks wait for each of those.
-bool slot_home::WorthItsSlowness(const upstream_id& upstream) const {
+// A task on an upstream that is k times slower ends later than one that waits
+// for a slot of normal speed, unless at least k - 1 tasks wait per such slot.
+bool slot_home::IsWorthUsingWhenSlow(const upstream_id& upstream) const {
   double slowness = health_.slowness(upstream, clock_.now());
-  if (slowness < kSlow)
+  if (slowness < kSlowThreshold)
     return true;
   int normal_slots = 0;
   for (const auto& [id, slots] : upstreams_) {
     if (slots.info.state == instance_state::kLive &&
-        health_.slowness(id, clock_.now()) < kSlow)
+        health_.slowness(id, clock_.now()) < kSlowThreshold)
       normal_slots += slots.info.slots;
   }
   return Work().waiting >= normal_slots * (slowness - 1);
@@ -301,7 +307,7 @@
 bool slot_home::HasRoom(const holder& h, const upstream_slots& slots) const {
   time_point now = clock_.now();
   if (slots.info.state != instance_state::kLive || now < slots.leaving_until ||
-      slots.held + slots.used_by_others >= slots.info.slots) {
+      slots.held + slots.external_use >= slots.info.slots) {
     return false;
   }
   upstream_id id(slots.info.id.str());
@@ -315,39 +321,39 @@
   return health_.MayReceive(id, now);
 }
 
-// Two homes that can't reach each other both grant every slot. Without this,
-// each would go on granting what the other has taken, and tasks would spend
-// their time in refused starts and back-off. What was refused tells how many
-// slots are the other's.
-void slot_home::NoteRefusal(upstream_slots& slots) const {
+// Two homes that can't reach each other both grant every slot. Without this
+// estimate each would keep granting slots that the other has taken, and tasks
+// would be delayed by refused starts and back-off. A refusal means that all
+// slots not held through this home are used by others.
+void slot_home::RecordRefusal(upstream_slots& slots) const {
   int others = slots.info.slots - slots.held;
-  slots.used_by_others = std::max(slots.used_by_others, others);
-  slots.others_believed_until = clock_.now() + kOthersBelieved;
+  slots.external_use = std::max(slots.external_use, others);
+  slots.external_use_decays_at = clock_.now() + kExternalUseDecayInterval;
 }
 
-// Entry instances that are listed and can't be reached are dead or cut off
-// with a home of their own. Until one or the other shows, by refusals or by
-// their absence, they are left their share.
+// Entry instances that are listed but unreachable are either dead or on the
+// other side of a network partition with their own home. Their share of the
+// slots stays reserved until refusals, or the lack of them, tell which.
 void slot_home::ReserveForUnreachable(size_t listed) {
   size_t reached = live_holders_.size();
   size_t unreachable = listed > reached ? listed - reached : 0;
-  bool more = unreachable > std::exchange(unreachable_, unreachable);
+  bool more = unreachable > std::exchange(unreachable_count_, unreachable);
   if (!more)
     return;
   for (auto& [id, slots] : upstreams_) {
     int share = slots.info.slots * static_cast<int>(unreachable) /
                 static_cast<int>(listed);
-    slots.used_by_others = std::max(slots.used_by_others, share);
-    slots.others_believed_until = clock_.now() + kShareReserved;
+    slots.external_use = std::max(slots.external_use, share);
+    slots.external_use_decays_at = clock_.now() + kReservationTime;
   }
 }
 
-void slot_home::ForgetOthers() {
+void slot_home::DecayExternalUse() {
   for (auto& [id, slots] : upstreams_) {
-    if (slots.used_by_others == 0 || clock_.now() < slots.others_believed_until)
+    if (slots.external_use == 0 || clock_.now() < slots.external_use_decays_at)
       continue;
-    --slots.used_by_others;
-    slots.others_believed_until = clock_.now() + kOthersBelieved;
+    --slots.external_use;
+    slots.external_use_decays_at = clock_.now() + kExternalUseDecayInterval;
   }
 }
 
@@ -356,9 +362,9 @@
   grant.sequence = ++h.last_sequence;
   grant.demand_sequence = h.demand.sequence;
   grant.slots = std::exchange(h.outgoing, {});
-  if (clock_.now() - h.work_told >= kTellWorkEvery) {
+  if (clock_.now() - h.work_last_sent >= kWorkUpdateInterval) {
     grant.work = Work();
-    h.work_told = clock_.now();
+    h.work_last_sent = clock_.now();
   }
   for (const granted_slot& slot : grant.slots)
     h.unacknowledged.emplace_back(grant.sequence, slot);
@@ -366,7 +372,7 @@
   send_(to, grant);
 }
 
-std::vector<granted_slot> slot_home::UnderWay(const holder& h) {
+std::vector<granted_slot> slot_home::UnacknowledgedGrants(const holder& h) {
   std::vector<granted_slot> slots = h.outgoing;
   for (const auto& [sequence, slot] : h.unacknowledged)
     slots.push_back(slot);
@@ -377,7 +383,7 @@
   std::map<upstream_id, int> held;
   for (const upstream_count& reported : demand.held)
     held[reported.upstream] += reported.count;
-  for (const granted_slot& slot : UnderWay(h))
+  for (const granted_slot& slot : UnacknowledgedGrants(h))
     ++held[slot.upstream];
   for (const auto& [upstream, count] : h.held)
     held.try_emplace(upstream, 0);
@@ -400,14 +406,14 @@
 void slot_home::DropSilentHolders() {
   std::vector<instance_id> silent;
   for (const auto& [id, h] : holders_) {
-    if (clock_.now() - h.last_heard > kHolderSilence)
+    if (clock_.now() - h.last_heard > kHolderTimeout)
       silent.push_back(id);
   }
   for (const instance_id& id : silent)
     DropHolder(id);
   if (!silent.empty())
     ScheduleIssue();
-  silence_timer_.StartAfter(kHolderSilence / 3,
+  silence_timer_.StartAfter(kHolderTimeout / 3,
                             [this] { DropSilentHolders(); });
 }
 
@@ -422,7 +428,7 @@
 }
 
 bool slot_home::ReadyToGrant() const {
-  if (clock_.now() - started_ >= kReportWait)
+  if (clock_.now() - started_ >= kFullReportTimeout)
     return true;
   return std::ranges::all_of(live_holders_, [&](const instance_id& id) {
     auto found = holders_.find(id);
--- a/src/policy/slot_home.h
+++ b/src/policy/slot_home.h
@@ -1,5 +1,5 @@
-// The home of a failure domain's slots: it grants them one by one, as they
-// come free, in the order of all jobs that wait in the domain.
+// Grants the slots of a failure domain's upstreams to its entry instances, one
+// at a time as they become free, in the order of all waiting jobs.
 
 #ifndef SRC_POLICY_SLOT_HOME_H_
 #define SRC_POLICY_SLOT_HOME_H_
@@ -22,10 +22,10 @@
 
 namespace jasminedyke {
 
-// Soft state, held by one entry instance of the failure domain. If it is lost,
-// the next home learns who holds what from the holders' full reports. If two
-// instances think that they are home, too many starts are granted; the
-// upstreams refuse those as not run.
+// Soft state of one entry instance per failure domain. After a failover the
+// next home rebuilds it from the holders' full reports. If two instances act as
+// home, slots are granted twice; the upstreams refuse the excess starts without
+// running them.
 class slot_home {
  public:
   using sender =
@@ -38,13 +38,14 @@
             const order_rule& rule,
             sender send);
 
-  // To be called before anything else and on each change. `holders` are the
-  // entry instances of the domain that can be reached.
+  // Must be called before all other functions and on each membership change.
+  // `holders` are the reachable entry instances of the domain.
   void SetMembership(const membership_view& view,
                      const std::vector<instance_id>& holders);
   void SetQuotas(const team_quotas& quotas) { quotas_ = quotas; }
 
-  // A home that starts waits for reports of what is held before it grants.
+  // Begins to act as home. Grants nothing until all holders have sent a full
+  // report or the wait for the reports times out.
   void Start();
   void Stop();
   bool active() const { return active_; }
@@ -52,7 +53,7 @@
   void OnDemand(const instance_id& from, const slot_demand& demand);
   void OnRelease(const instance_id& from, const slot_release& release);
 
-  // Slots of the upstream that are granted and not released.
+  // Number of slots that are granted and not yet released.
   int held(const upstream_id& upstream) const;
   int held() const;
   int free_slots() const;
@@ -69,23 +70,24 @@
     std::map<upstream_id, int> held;
     std::map<team_id, int> running;
     uint64_t last_sequence = 0;
-    // Grants that the holder's newest demand does not know of yet.
+    // Grants that the holder's latest demand does not acknowledge yet, with the
+    // sequence of their message.
     std::deque<std::pair<uint64_t, granted_slot>> unacknowledged;
     time_point last_heard;
     time_point last_sent;
-    // When the domain's work was last told.
-    time_point work_told;
+    // When the domain's work was last sent.
+    time_point work_last_sent;
     bool reported = false;
-    // Granted and about to be sent.
+    // Grants that wait to be sent.
     std::vector<granted_slot> outgoing;
   };
   struct upstream_slots {
     instance_info info;
     int held = 0;
-    // Slots that, by its refusals, somebody else uses: another home, or an
-    // instance without one. Falls again with time.
-    int used_by_others = 0;
-    time_point others_believed_until;
+    // Estimate, from the upstream's refusals, of the slots used by another home
+    // or by an instance without a home. Decays over time.
+    int external_use = 0;
+    time_point external_use_decays_at;
     time_point leaving_until;
   };
   struct choice {
@@ -101,13 +103,13 @@
   std::optional<choice> BestWaiting(const std::set<const waiting_entry*>& skip);
   upstream_id BestUpstream(const holder& h, int memory_mb) const;
   bool HasRoom(const holder& h, const upstream_slots& slots) const;
-  bool WorthItsSlowness(const upstream_id& upstream) const;
-  void NoteRefusal(upstream_slots& slots) const;
-  void ForgetOthers();
+  bool IsWorthUsingWhenSlow(const upstream_id& upstream) const;
+  void RecordRefusal(upstream_slots& slots) const;
+  void DecayExternalUse();
   void ReserveForUnreachable(size_t listed);
   void Send(const instance_id& to, holder& h);
-  // Slots that the holder does not know yet that it has.
-  static std::vector<granted_slot> UnderWay(const holder& h);
+  // Grants that the holder has not acknowledged, sent or not.
+  static std::vector<granted_slot> UnacknowledgedGrants(const holder& h);
   void ApplyFullReport(holder& h, const slot_demand& demand);
   void ChangeHeld(holder& h, const upstream_id& upstream, int change);
   void DropSilentHolders();
@@ -126,10 +128,10 @@
   bool active_ = false;
   time_point started_;
   std::vector<instance_id> live_holders_;
-  // Entry instances that are listed as live and can't be reached.
-  size_t unreachable_ = 0;
+  // Number of entry instances listed as live that can't be reached.
+  size_t unreachable_count_ = 0;
   std::map<instance_id, holder> holders_;
-  // `held` of each is the sum over the holders.
+  // The `held` of each upstream is the sum over all holders.
   std::map<upstream_id, upstream_slots> upstreams_;
   scoped_timer issue_timer_;
   scoped_timer send_timer_;
