--- a/src/policy/granted_slots.cc
+++ b/src/policy/granted_slots.cc
@@ -7,27 +7,29 @@
 
 namespace {
 
-// A grant starts tasks only for so long after the demand that it answers. The
-// time is counted on our own clock from before the home's, so a holder that
-// was paused judges its grants lapsed before the home does.
+// A grant is valid for this long after the demand that it answers was sent. The
+// holder measures this with its own clock, starting before the home does, so a
+// holder that was paused considers its grants expired before the home does.
 constexpr duration kGrantLease = std::chrono::seconds(1);
-// More than are sent within a lease.
-constexpr size_t kDemandsRemembered = 1500;
-constexpr duration kHeartbeat = std::chrono::milliseconds(500);
-constexpr duration kFullReportEvery = std::chrono::seconds(2);
-// The home answers every heartbeat; if it has been asked for longer than that
-// takes and says nothing, it is taken for dead.
-constexpr duration kHomeSilence = std::chrono::milliseconds(750);
-// The first report or release after a pause goes at once, further ones are
-// collected for so long.
-constexpr duration kReportGap = std::chrono::milliseconds(1);
-constexpr duration kReleaseGap = std::chrono::milliseconds(1);
-// Jobs of each team that a report names.
-constexpr size_t kReportedJobs = 6;
-// The home always knows of at least so many waiting tasks, if there are any.
-constexpr int kLowWater = 8;
-// A job that ranks better by less than this waits for the next report.
-constexpr double kRankStep = 0.02;
+// More demands than can be sent within a lease.
+constexpr size_t kMaxRememberedDemands = 1500;
+constexpr duration kHeartbeatInterval = std::chrono::milliseconds(500);
+constexpr duration kFullReportInterval = std::chrono::seconds(2);
+// The home answers every heartbeat. It is considered dead if a demand stays
+// without response for this long.
+constexpr duration kHomeTimeout = std::chrono::milliseconds(750);
+// Minimum intervals between reports and between releases. The first one after a
+// pause is sent at once, later ones are batched.
+constexpr duration kMinReportInterval = std::chrono::milliseconds(1);
+constexpr duration kMinReleaseInterval = std::chrono::milliseconds(1);
+// Maximum number of entries for each team in a report.
+constexpr size_t kMaxReportedEntriesPerTeam = 6;
+// A report is sent when the home knows of fewer waiting tasks than this and
+// more are waiting.
+constexpr int kMinKnownTasks = 8;
+// In seconds: a job whose rank is better by no more than this triggers no
+// report.
+constexpr double kRankTolerance = 0.02;
 
 int CountTasks(const std::vector<demand_entry>& entries) {
   int tasks = 0;
@@ -56,7 +58,7 @@
 
 void granted_slots::SetHome(const instance_id& home) {
   home_ = home;
-  asked_at_.reset();
+  unanswered_since_.reset();
   silence_timer_.Stop();
   last_grant_sequence_ = 0;
   full_report_due_ = true;
@@ -115,7 +117,7 @@
 }
 
 void granted_slots::OnGrant(const slot_grant& grant) {
-  asked_at_.reset();
+  unanswered_since_.reset();
   silence_timer_.Stop();
   last_grant_sequence_ = std::max(last_grant_sequence_, grant.sequence);
   if (grant.work)
@@ -125,13 +127,13 @@
     fallback_.Pause();
     full_report_due_ = true;
   }
-  bool in_time = IsInTime(grant.demand_sequence);
+  bool within_lease = IsWithinLease(grant.demand_sequence);
   for (const granted_slot& slot : grant.slots)
-    UseSlot(slot, in_time);
+    UseSlot(slot, within_lease);
   ReportSoon();
 }
 
-void granted_slots::UseSlot(const granted_slot& slot, bool in_time) {
+void granted_slots::UseSlot(const granted_slot& slot, bool within_lease) {
   for (demand_entry& entry : reported_) {
     if (entry.team == slot.team && entry.tasks > 0) {
       --entry.tasks;
@@ -139,7 +141,7 @@
     }
   }
   start_order order{slot.upstream, slot.team, true, slot.trial};
-  if (!in_time || !host_.StartOn(order))
+  if (!within_lease || !host_.StartOn(order))
     Release({slot.upstream, slot_result::kUnused});
 }
 
@@ -148,8 +150,9 @@
     return;
   releases_.push_back(slot);
   if (!release_timer_.active())
-    release_timer_.StartAt(std::max(clock_.now(), released_at_ + kReleaseGap),
-                           [this] { FlushReleases(); });
+    release_timer_.StartAt(
+        std::max(clock_.now(), released_at_ + kMinReleaseInterval),
+        [this] { FlushReleases(); });
 }
 
 void granted_slots::FlushReleases() {
@@ -161,17 +164,18 @@
 
 void granted_slots::ReportSoon() {
   if (!report_timer_.active())
-    report_timer_.StartAt(std::max(clock_.now(), reported_at_ + kReportGap),
-                          [this] { ReportIfNeeded(); });
+    report_timer_.StartAt(
+        std::max(clock_.now(), reported_at_ + kMinReportInterval),
+        [this] { ReportIfNeeded(); });
   ScheduleHeartbeat();
 }
 
 void granted_slots::ReportIfNeeded() {
-  // What the home would grant can't be reached; heartbeats still ask now and
-  // then, so the return of an upstream is noticed.
+  // No upstream of this domain is usable, so a grant would be of no use.
+  // Heartbeats still send demands, which detects the return of an upstream.
   if (home_.empty() || spill_.OnlyOthersCanServe())
     return;
-  std::vector<demand_entry> waiting = host_.Demand(kReportedJobs);
+  std::vector<demand_entry> waiting = host_.Demand(kMaxReportedEntriesPerTeam);
   if (ReportNeeded(waiting))
     Report(std::move(waiting));
 }
@@ -184,11 +188,11 @@
   int known_tasks = CountTasks(reported_);
   if (known_tasks > waiting_tasks)
     return true;
-  if (known_tasks < std::min(kLowWater, waiting_tasks))
+  if (known_tasks < std::min(kMinKnownTasks, waiting_tasks))
     return true;
   if (waiting.empty())
     return false;
-  // The better rank of each team counts: the home grants by team.
+  // Only the best rank of each team matters, as the home grants slots to teams.
   double aged = rule_.age_weight * ToSeconds(clock_.now() - reported_at_);
   for (const demand_entry& entry : waiting) {
     auto known = std::ranges::find_if(reported_, [&](const demand_entry& r) {
@@ -196,26 +200,26 @@
     });
     if (known == reported_.end())
       return true;
-    if (entry.rank < known->rank - aged - kRankStep)
+    if (entry.rank < known->rank - aged - kRankTolerance)
       return true;
   }
   return false;
 }
 
 void granted_slots::Report(std::vector<demand_entry> waiting) {
-  if (waiting.empty() && !HasBusiness() && reported_.empty() &&
+  if (waiting.empty() && !HasTasks() && reported_.empty() &&
       !full_report_due_) {
     return;
   }
-  // Releases go first: a full report counts their slots as free.
+  // Releases must be sent first, as a full report counts their slots as free.
   FlushReleases();
   time_point now = clock_.now();
   slot_demand demand;
-  demand.sequence = NumberDemand();
+  demand.sequence = NextDemandSequence();
   demand.last_grant_sequence = last_grant_sequence_;
   demand.running = host_.running_by_team();
   demand.full_report =
-      full_report_due_ || now - last_full_report_ >= kFullReportEvery;
+      full_report_due_ || now - last_full_report_ >= kFullReportInterval;
   if (demand.full_report) {
     demand.held = InFlight();
     demand.quarantined = upstreams_.health().quarantined(now);
@@ -226,50 +230,50 @@
   reported_ = std::move(waiting);
   reported_at_ = now;
   host_.SendToPeer(home_, demand);
-  ExpectAnswer();
+  StartHomeTimeout();
 }
 
 void granted_slots::Heartbeat() {
   if (home_.empty())
     return;
-  Report(host_.Demand(kReportedJobs));
-  if (HasBusiness())
+  Report(host_.Demand(kMaxReportedEntriesPerTeam));
+  if (HasTasks())
     ScheduleHeartbeat();
 }
 
 void granted_slots::ScheduleHeartbeat() {
   if (heartbeat_timer_.active() || home_.empty())
     return;
-  heartbeat_timer_.StartAfter(kHeartbeat, [this] { Heartbeat(); });
+  heartbeat_timer_.StartAfter(kHeartbeatInterval, [this] { Heartbeat(); });
 }
 
-bool granted_slots::HasBusiness() const {
+bool granted_slots::HasTasks() const {
   return host_.waiting_tasks() > 0 || !host_.running_by_team().empty();
 }
 
-uint64_t granted_slots::NumberDemand() {
-  demands_sent_.push_back(clock_.now());
-  if (demands_sent_.size() > kDemandsRemembered)
-    demands_sent_.pop_front();
+uint64_t granted_slots::NextDemandSequence() {
+  demand_send_times_.push_back(clock_.now());
+  if (demand_send_times_.size() > kMaxRememberedDemands)
+    demand_send_times_.pop_front();
   return ++demand_sequence_;
 }
 
-// Grants answer one of the last demands, and that one was sent not long ago.
-bool granted_slots::IsInTime(uint64_t demand_sequence) const {
+// Whether the demand is still remembered and was sent within the lease.
+bool granted_slots::IsWithinLease(uint64_t demand_sequence) const {
   uint64_t newer = demand_sequence_ - demand_sequence;
-  if (demand_sequence > demand_sequence_ || newer >= demands_sent_.size())
+  if (demand_sequence > demand_sequence_ || newer >= demand_send_times_.size())
     return false;
-  time_point sent = demands_sent_[demands_sent_.size() - 1 - newer];
+  time_point sent = demand_send_times_[demand_send_times_.size() - 1 - newer];
   return clock_.now() - sent <= kGrantLease;
 }
 
-void granted_slots::ExpectAnswer() {
-  if (asked_at_ || host_.waiting_tasks() == 0)
+void granted_slots::StartHomeTimeout() {
+  if (unanswered_since_ || host_.waiting_tasks() == 0)
     return;
-  asked_at_ = clock_.now();
-  silence_timer_.StartAfter(kHomeSilence, [this] {
-    asked_at_.reset();
-    // What was asked for is no longer wanted, so there was nothing to say.
+  unanswered_since_ = clock_.now();
+  silence_timer_.StartAfter(kHomeTimeout, [this] {
+    unanswered_since_.reset();
+    // No task waits any more, so the home had no reason to respond.
     if (host_.waiting_tasks() == 0)
       return;
     if (!in_fallback_)
--- a/src/policy/granted_slots.h
+++ b/src/policy/granted_slots.h
@@ -1,5 +1,5 @@
-// Strategy: ask the failure domain's home for slots and start tasks on those
-// that it grants.
+// Slot strategy that requests slots from the failure domain's home and starts
+// tasks on those that it grants.
 
 #ifndef SRC_POLICY_GRANTED_SLOTS_H_
 #define SRC_POLICY_GRANTED_SLOTS_H_
@@ -17,9 +17,9 @@
 
 namespace jasminedyke {
 
-// The holder's side of the protocol whose other side is `slot_home`. While the
-// home is silent, tasks start within a fixed share of the slots instead, so a
-// dead home delays work by a bounded time and stops nothing.
+// The holder's side of the protocol with `slot_home`. While the home does not
+// respond, tasks start within a fixed share of the slots instead, so a dead
+// home delays work by a bounded time only.
 class granted_slots : public slot_strategy {
  public:
   granted_slots(scheduler& clock,
@@ -28,16 +28,16 @@
                 const order_rule& rule,
                 uint64_t seed);
 
-  // The instance to ask; empty if there is none. To be called again, with the
-  // same one, after the link to it broke.
+  // Sets the instance to request slots from; empty if there is none. Must be
+  // called again, with the same instance, when a broken connection is restored.
   void SetHome(const instance_id& home);
   const instance_id& home() const { return home_; }
 
-  // The link to the home broke: until it is back or another home is set, tasks
-  // start without grants.
+  // Called when the connection to the home breaks. Tasks start without grants
+  // until the home sends a grant again or `SetHome` is called.
   void OnHomeUnreachable();
 
-  // This instance's share of the slots while there is no home.
+  // Sets this instance's share of the slots for the time without a home.
   void SetShare(int rank, int instances) {
     fallback_.SetShare(rank, instances);
   }
@@ -48,19 +48,21 @@
   void OnPeerMessage(const instance_id& peer,
                      const slot_message& message) override;
 
-  // News of another failure domain's room.
+  // Updates the free slots of another failure domain.
   void SetRoom(const domain_room& room);
-  // The own domain's room, as far as the home has told.
+  // Free slots of the own domain by the home's last message; 0 while tasks wait
+  // or start without grants.
   int free_slots_in_domain() const;
 
   // True while tasks start without grants.
   bool in_fallback() const { return in_fallback_; }
-  // What waits and runs in the whole failure domain, as the home last said.
+  // Waiting and running tasks of the whole failure domain, as last sent by the
+  // home.
   const domain_work& work_in_domain() const { return domain_work_; }
 
  private:
   void OnGrant(const slot_grant& grant);
-  void UseSlot(const granted_slot& slot, bool in_time);
+  void UseSlot(const granted_slot& slot, bool within_lease);
   void Release(const released_slot& slot);
   void FlushReleases();
   void ReportSoon();
@@ -69,10 +71,10 @@
   void Report(std::vector<demand_entry> waiting);
   void Heartbeat();
   void ScheduleHeartbeat();
-  bool HasBusiness() const;
-  uint64_t NumberDemand();
-  bool IsInTime(uint64_t demand_sequence) const;
-  void ExpectAnswer();
+  bool HasTasks() const;
+  uint64_t NextDemandSequence();
+  bool IsWithinLease(uint64_t demand_sequence) const;
+  void StartHomeTimeout();
   void StartWithoutHome();
   std::vector<upstream_count> InFlight() const;
 
@@ -85,21 +87,21 @@
 
   instance_id home_;
   bool in_fallback_ = false;
-  // When the home was first asked since it last said anything.
-  std::optional<time_point> asked_at_;
+  // When the oldest demand was sent that the home has not responded to.
+  std::optional<time_point> unanswered_since_;
   uint64_t last_grant_sequence_ = 0;
   domain_work domain_work_;
-  // When the latest demands were sent, the newest last, which has the number
+  // Send times of the latest demands. The last one has the sequence
   // `demand_sequence_`.
-  std::deque<time_point> demands_sent_;
+  std::deque<time_point> demand_send_times_;
   uint64_t demand_sequence_ = 0;
 
-  // What the home knows of our waiting work: the last report less what was
+  // Waiting tasks that the home knows of: those of the last report less those
   // granted since.
   std::vector<demand_entry> reported_;
   time_point reported_at_;
   time_point last_full_report_;
-  // The next report must say what is held.
+  // Whether the next report must be a full report, which lists the held slots.
   bool full_report_due_ = true;
   std::vector<released_slot> releases_;
   time_point released_at_;
