--- a/src/policy/local_slots.cc
+++ b/src/policy/local_slots.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr duration kRetryDelay = std::chrono::milliseconds(5);
+constexpr duration kRetryInterval = std::chrono::milliseconds(5);
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     }
   }
   if (host_.waiting_tasks() > 0 && !retry_.active())
-    retry_.StartAfter(kRetryDelay, [this] { OnWorkChanged(); });
+    retry_.StartAfter(kRetryInterval, [this] { OnWorkChanged(); });
 }
 
 void static_split_slots::OnAttemptEnded(const released_slot&) {
@@ -40,7 +40,8 @@
   OnWorkChanged();
 }
 
-// Slots that don't divide evenly go to other instances at each upstream.
+// The remainder of an uneven division goes to different instances at different
+// upstreams.
 int static_split_slots::Share(size_t upstream_number, int slots) const {
   int share = 0;
   for (int slot = 0; slot < slots; ++slot) {
--- a/src/policy/local_slots.h
+++ b/src/policy/local_slots.h
@@ -1,4 +1,4 @@
-// A strategy that needs no messages.
+// Slot strategy that needs no messages between instances.
 
 #ifndef SRC_POLICY_LOCAL_SLOTS_H_
 #define SRC_POLICY_LOCAL_SLOTS_H_
@@ -9,16 +9,16 @@
 
 namespace jasminedyke {
 
-// Gives each entry instance a fixed part of each upstream's slots. Without a
-// message no upstream is asked for more than it has; but what one instance
-// does not use, no other can. The fallback when no home can be reached.
+// Assigns each entry instance a fixed share of each upstream's slots. No
+// upstream is overloaded, but slots that one instance leaves idle can't be used
+// by another. Serves as the fallback when no home is reachable.
 class static_split_slots : public slot_strategy {
  public:
   static_split_slots(scheduler& clock,
                      const upstream_table& upstreams,
                      slot_host& host);
 
-  // Which part is this instance's: the `rank`th of `instances`, from 0.
+  // Assigns this instance share number `rank`, from 0, of `instances` shares.
   void SetShare(int rank, int instances);
 
   void OnWorkChanged() override;
@@ -26,7 +26,7 @@
   void OnMembershipChanged() override;
   void OnPeerMessage(const instance_id&, const slot_message&) override {}
 
-  // Starts nothing more until the next call from outside.
+  // Starts no more tasks until one of the functions above is called.
   void Pause() { retry_.Stop(); }
 
  private:
--- a/src/policy/spill_slots.cc
+++ b/src/policy/spill_slots.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr duration kRoomBelieved = std::chrono::seconds(3);
-// All entry instances of all other domains hear of the same room; each takes
-// only this part of it.
-constexpr int kPartOfRoom = 4;
-// This instance's tasks on one upstream of another domain.
-constexpr int kMostOnOne = 2;
+// Announced free slots expire after this time.
+constexpr duration kRoomExpiry = std::chrono::seconds(3);
+// Every entry instance of every other domain hears of the same free slots, so
+// each uses only one part in this many.
+constexpr int kRoomDivisor = 4;
+// Maximum number of this instance's tasks on one upstream of another domain.
+constexpr int kMaxTasksPerUpstream = 2;
 
 }  // namespace
 
@@ -22,7 +23,7 @@
     : clock_(clock), upstreams_(upstreams), host_(host), random_(seed) {}
 
 void spill_slots::SetRoom(const domain_room& room) {
-  rooms_[room.domain] = {(room.free_slots + kPartOfRoom - 1) / kPartOfRoom,
+  rooms_[room.domain] = {(room.free_slots + kRoomDivisor - 1) / kRoomDivisor,
                          clock_.now()};
 }
 
@@ -52,7 +53,7 @@
 }
 
 bool spill_slots::IsFresh(const known_room& room) const {
-  return clock_.now() - room.heard <= kRoomBelieved;
+  return clock_.now() - room.updated <= kRoomExpiry;
 }
 
 int spill_slots::FitOwnSlots() const {
@@ -71,11 +72,11 @@
   for (auto& [domain, room] : rooms_) {
     if (room.left <= 0 || !IsFresh(room))
       continue;
-    std::vector<const upstream_state*> open = Open(domain);
-    if (open.empty())
+    std::vector<const upstream_state*> usable = UsableUpstreams(domain);
+    if (usable.empty())
       continue;
-    std::uniform_int_distribution<size_t> pick(0, open.size() - 1);
-    if (!host_.StartOn({.upstream = open[pick(random_)]->id}))
+    std::uniform_int_distribution<size_t> pick(0, usable.size() - 1);
+    if (!host_.StartOn({.upstream = usable[pick(random_)]->id}))
       return false;
     --room.left;
     return true;
@@ -83,15 +84,16 @@
   return false;
 }
 
-std::vector<const upstream_state*> spill_slots::Open(
+std::vector<const upstream_state*> spill_slots::UsableUpstreams(
     const failure_domain_id& domain) const {
-  std::vector<const upstream_state*> open;
+  std::vector<const upstream_state*> usable;
   for (const auto& [id, state] : upstreams_.all()) {
-    if (state.info.failure_domain == domain && state.in_flight < kMostOnOne &&
+    if (state.info.failure_domain == domain &&
+        state.in_flight < kMaxTasksPerUpstream &&
         upstreams_.MayStart(id, clock_.now()))
-      open.push_back(&state);
+      usable.push_back(&state);
   }
-  return open;
+  return usable;
 }
 
 }  // namespace jasminedyke
--- a/src/policy/spill_slots.h
+++ b/src/policy/spill_slots.h
@@ -1,4 +1,5 @@
-// Use of other failure domains' upstreams when the own ones are not enough.
+// Starts tasks on upstreams of other failure domains when no upstream of the
+// own domain is fit.
 
 #ifndef SRC_POLICY_SPILL_SLOTS_H_
 #define SRC_POLICY_SPILL_SLOTS_H_
@@ -13,7 +14,7 @@
 
 namespace jasminedyke {
 
-// Free slots of a failure domain in which nothing waits.
+// Free slots of a failure domain that has no waiting tasks.
 struct domain_room {
   failure_domain_id domain;
   int free_slots = 0;
@@ -21,11 +22,12 @@
   bool operator==(const domain_room&) const = default;
 };
 
-// Starts waiting tasks in other failure domains that have said that they have
-// room, if no own upstream is fit. A task there takes a slot that its domain's
-// home does not know of; so it is no way to save a mere wait: tried for that,
-// it wasted 14 messages per 1,000 tasks (docs/design/slots.md). A domain's room
-// is used sparingly and forgotten at its first refusal.
+// Starts waiting tasks in other failure domains that have announced free slots,
+// if no upstream of the own domain is fit. The other domain's home does not
+// know of the slots taken this way. Using them merely to shorten waits wasted
+// 14 messages per 1,000 tasks (docs/design/slots.md). Only part of a domain's
+// free slots is used, and none after its first refusal until new ones are
+// announced.
 class spill_slots {
  public:
   spill_slots(scheduler& clock,
@@ -33,27 +35,27 @@
               slot_host& host,
               uint64_t seed);
 
-  // News of another domain's room.
+  // Updates the free slots of another domain.
   void SetRoom(const domain_room& room);
 
-  // To be called when tasks began to wait.
+  // Must be called when tasks begin to wait.
   void OnWorkChanged();
   void OnAttemptEnded(const released_slot& slot);
 
-  // No own upstream is fit while another domain has room: there is no use in
-  // asking for own slots.
+  // Whether no upstream of the own domain is fit and another domain has free
+  // slots, so that requesting slots of the own domain is useless.
   bool OnlyOthersCanServe() const;
 
  private:
   struct known_room {
     int left = 0;
-    time_point heard;
+    time_point updated;
   };
 
   bool IsFresh(const known_room& room) const;
   int FitOwnSlots() const;
   bool StartInOtherDomain();
-  std::vector<const upstream_state*> Open(
+  std::vector<const upstream_state*> UsableUpstreams(
       const failure_domain_id& domain) const;
 
   scheduler& clock_;
