--- a/src/policy/slot_messages.h
+++ b/src/policy/slot_messages.h
@@ -1,5 +1,5 @@
-// What entry instances tell each other about slots. All of it may be lost or
-// late: a wrong view costs a refused start or a wait, never a second start.
+// Messages about slots between entry instances. They may be lost or late: stale
+// information costs a refused start or a wait, but never starts a task twice.
 
 #ifndef SRC_POLICY_SLOT_MESSAGES_H_
 #define SRC_POLICY_SLOT_MESSAGES_H_
@@ -13,13 +13,13 @@
 
 namespace jasminedyke {
 
-// Waiting work of one team with one rank.
+// Waiting tasks of one team with about the same rank.
 struct demand_entry {
   team_id team;
-  // As of the moment of sending; see `order_rule`.
+  // Rank at the time of sending; see `order_rule`.
   double rank = 0;
   int tasks = 0;
-  // What one of the tasks needs.
+  // Memory that each task may need.
   int memory_mb = 0;
 
   bool operator==(const demand_entry&) const = default;
@@ -39,32 +39,33 @@
   bool operator==(const team_count&) const = default;
 };
 
-// From an entry instance to the home of its failure domain: all that it wants
-// and holds. Each one replaces the one before.
+// Sent by an entry instance to the home of its failure domain, with the tasks
+// that wait and the slots that it holds. Replaces its previous demand.
 struct slot_demand {
-  // Counts the sender's demands; handed back in grants.
+  // Number of the demand, counted by the sender and returned in grants.
   uint64_t sequence = 0;
-  // The last grant message that the sender had when it sent this.
+  // Sequence of the last grant message that the sender has received.
   uint64_t last_grant_sequence = 0;
-  // Best first.
+  // Ordered by rank, the lowest first.
   std::vector<demand_entry> waiting;
   std::vector<team_count> running;
-  // Present only in a full report.
+  // Whether `held` and `quarantined` are set.
   bool full_report = false;
   std::vector<upstream_count> held;
-  // Upstreams that the sender has quarantined by its own experience.
+  // Upstreams that the sender has quarantined because of its own attempts.
   std::vector<upstream_id> quarantined;
 };
 
 struct granted_slot {
   upstream_id upstream;
   team_id team;
-  // The upstream was quarantined and this task is its trial.
+  // Whether the task tests an upstream that was quarantined.
   bool trial = false;
 
   bool operator==(const granted_slot&) const = default;
 };
 
+// Numbers of tasks in a failure domain.
 struct domain_work {
   int waiting = 0;
   int running = 0;
@@ -72,27 +73,26 @@
   bool operator==(const domain_work&) const = default;
 };
 
-// From the home: slots that the receiver may start tasks on, and a sign of
-// life if there are none.
+// Sent by the home: slots that the receiver may start tasks on. Without slots
+// it serves as a keepalive.
 struct slot_grant {
   uint64_t sequence = 0;
-  // Of the newest demand that the home knew.
+  // Sequence of the latest demand that the home has received.
   uint64_t demand_sequence = 0;
   std::vector<granted_slot> slots;
-  // All waiting and running tasks of the failure domain that the home knows
-  // of. Nothing: about as before.
+  // Waiting and running tasks of the failure domain that the home knows of;
+  // left out of most messages, as it changes little between two of them.
   std::optional<domain_work> work;
 };
 
-// How an attempt on a granted slot ended, as far as it tells about the
-// upstream.
+// Outcome of an attempt on a slot, as far as it concerns the upstream.
 enum class slot_result {
-  kUnused,       // no task was started on it
-  kAnswered,     // the upstream did its work
-  kTaskError,    // it answered that the task failed
+  kUnused,       // no task was started on the slot
+  kAnswered,     // the upstream ran the task
+  kTaskError,    // the upstream replied that the task failed
   kFull,         // refused, not run: no slot was free
-  kLeaving,      // refused, not run: it takes no new work
-  kUnreachable,  // no connection, or none of the request sent
+  kLeaving,      // refused, not run: the upstream takes no new work
+  kUnreachable,  // no connection, or no part of the request sent
   kBroken,       // reset, timeout or malformed reply: outcome unknown
   kStopped,      // ended early because its job was over
 };
@@ -100,13 +100,13 @@
 struct released_slot {
   upstream_id upstream;
   slot_result result = slot_result::kUnused;
-  // Run time over what was expected; 0 if unknown.
+  // Run time divided by the expected run time; 0 if unknown.
   double slowness = 0;
 
   bool operator==(const released_slot&) const = default;
 };
 
-// From an entry instance to the home: slots that are free again.
+// Sent by an entry instance to the home: slots that it no longer holds.
 struct slot_release {
   std::vector<released_slot> slots;
 };
--- a/src/policy/slot_strategy.h
+++ b/src/policy/slot_strategy.h
@@ -1,4 +1,4 @@
-// How entry instances that know little of each other share the slots of the
+// Interface of the strategies by which entry instances share the slots of the
 // upstreams.
 
 #ifndef SRC_POLICY_SLOT_STRATEGY_H_
@@ -11,19 +11,20 @@
 
 namespace jasminedyke {
 
-// A wish to start one task.
+// Request to start one task.
 struct start_order {
   upstream_id upstream{};
-  // Empty: of any team.
+  // Empty for a task of any team.
   team_id team{};
-  // The home chose the upstream, which knows more about it than this
-  // instance's own record of its health.
+  // Whether the home chose the upstream. The home knows more about its health
+  // than this instance does.
   bool granted = false;
-  // Only a task that may run twice should be risked on it.
+  // Whether the upstream is under test after quarantine, so that only an
+  // idempotent task should start on it.
   bool trial = false;
 };
 
-// What a strategy asks of the dispatcher that it works for.
+// Interface of the dispatcher to its slot strategy.
 class slot_host {
  public:
   virtual ~slot_host() = default;
@@ -32,8 +33,8 @@
   virtual std::vector<demand_entry> Demand(size_t limit_per_team) const = 0;
   virtual std::vector<team_count> running_by_team() const = 0;
 
-  // Starts the best waiting task that fits. False if there is none or the
-  // upstream may get none now.
+  // Starts the best waiting task that fits the order. Returns false if there is
+  // none or the upstream can't take one now.
   virtual bool StartOn(const start_order& order) = 0;
 
   virtual void SendToPeer(const instance_id& peer,
@@ -45,11 +46,11 @@
  public:
   virtual ~slot_strategy() = default;
 
-  // Tasks began or ceased to wait.
+  // Called when the set of waiting tasks has changed.
   virtual void OnWorkChanged() = 0;
-  // An attempt that `StartOn` began has ended.
+  // Called when an attempt started by `StartOn` has ended.
   virtual void OnAttemptEnded(const released_slot& slot) = 0;
-  // Upstreams or entry instances came, went or changed.
+  // Called when upstreams or entry instances were added, removed or changed.
   virtual void OnMembershipChanged() = 0;
   virtual void OnPeerMessage(const instance_id& peer,
                              const slot_message& message) = 0;
