--- a/src/policy/job_queue.cc
+++ b/src/policy/job_queue.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// In seconds: jobs whose ranks differ by less are asked for together.
-constexpr double kSameRank = 0.02;
+// In seconds: jobs whose ranks differ by less share a demand entry.
+constexpr double kRankTolerance = 0.02;
 
 }  // namespace
 
@@ -76,12 +76,12 @@
     for (const ranked_job& ranked : jobs) {
       const queued_job& facts = jobs_.at(ranked.second).facts;
       double rank = RankAt(ranked.first, now);
-      // Of many small jobs each would need an entry of its own, and only a few
-      // of them would be known to the home at a time.
-      bool joins = demand.size() > first &&
-                   rank - demand.back().rank < kSameRank &&
-                   facts.memory_mb <= demand.back().memory_mb;
-      if (joins) {
+      // If many small jobs had an entry each, the limit would let the home know
+      // of only a few of them at a time.
+      bool shares_entry = demand.size() > first &&
+                          rank - demand.back().rank < kRankTolerance &&
+                          facts.memory_mb <= demand.back().memory_mb;
+      if (shares_entry) {
         demand.back().tasks += facts.waiting_tasks;
         continue;
       }
--- a/src/policy/order_rule.h
+++ b/src/policy/order_rule.h
@@ -1,4 +1,4 @@
-// In which order jobs get slots.
+// Rules that decide in which order jobs get slots.
 
 #ifndef SRC_POLICY_ORDER_RULE_H_
 #define SRC_POLICY_ORDER_RULE_H_
@@ -12,34 +12,35 @@
 
 namespace jasminedyke {
 
-// The facts of a job that an order may look at.
+// The properties of a job that its rank depends on.
 struct order_facts {
-  duration age{};             // since its arrival
-  duration target{};          // of its class
+  duration age{};             // time since its arrival
+  duration target{};          // target time of its class
   duration remaining_work{};  // slot time of its tasks not yet started
-  duration longest_task{};    // estimate, a lower bound of its answer time
+  duration longest_task{};  // estimate; lower bound of the job's response time
 };
 
-// An order is a weighted sum of the facts; the job with the least rank goes
-// first. Age counts linearly, so that the ranks of waiting jobs all fall at
-// the same speed and keep their order while nothing else changes.
+// Ranks jobs by a weighted sum of their properties; the lowest rank comes
+// first. Age counts linearly, so the ranks of all waiting jobs fall at the same
+// rate and keep their order while nothing else changes.
 struct order_rule {
   std::string_view name;
   double age_weight;
   double target_weight;
   double work_weight;
 
-  // In seconds; comparable between instances, as no clock's origin is in it.
+  // In seconds. Comparable between instances, as it depends on no clock's
+  // epoch.
   double Rank(const order_facts& facts) const;
 };
 
-// All rules that can be measured against each other.
+// All rules, for comparison in benchmarks.
 const std::vector<order_rule>& OrderRules();
 
-// Null if there is no such rule.
+// Returns null if there is no rule of this name.
 const order_rule* FindOrderRule(std::string_view name);
 
-// The rule that measurement chose; see docs/design/order.md.
+// The rule in use; docs/design/order.md has the measurements behind the choice.
 const order_rule& DefaultOrderRule();
 
 }  // namespace jasminedyke
--- a/src/policy/team_quotas.h
+++ b/src/policy/team_quotas.h
@@ -1,4 +1,4 @@
-// Which teams hold more slots than are theirs.
+// Slot quotas of teams within a failure domain.
 
 #ifndef SRC_POLICY_TEAM_QUOTAS_H_
 #define SRC_POLICY_TEAM_QUOTAS_H_
@@ -10,13 +10,13 @@
 
 namespace jasminedyke {
 
-// Quotas of the teams within one failure domain. A team below its quota comes
-// before teams that are at or above theirs; what it leaves unused is theirs to
-// share. So a quota is a guarantee and never a ceiling, and no slot stays idle
-// while anyone has work.
+// A team below its quota takes precedence over teams at or above theirs, which
+// may use the slots that it leaves idle. So a quota guarantees a minimum and
+// sets no maximum, and no slot stays idle while any team has work.
 class team_quotas {
  public:
-  // The domain's part of a quota is its part of all slots, rounded up.
+  // Gives the domain the same fraction of each quota as it has of all slots,
+  // rounded up.
   void Set(const configuration& config, int domain_slots, int all_slots) {
     quota_.clear();
     if (all_slots <= 0)
