--- a/src/policy/admission.cc
+++ b/src/policy/admission.cc
@@ -6,23 +6,23 @@
 
 namespace {
 
-// A wait of so many targets is a miss by far.
-constexpr double kFarBeyondTarget = 2;
-// Estimates are rough; waits below this are never a reason to refuse.
-constexpr duration kShortWait = std::chrono::milliseconds(300);
-// A job never counts on less than this part of the slots.
-constexpr double kLeastShare = 0.2;
-constexpr duration kShortestRetryAfter = std::chrono::seconds(1);
-constexpr duration kLongestRetryAfter = std::chrono::seconds(60);
+// A job is refused if its wait exceeds its target by more than this factor.
+constexpr double kMaxWaitPerTarget = 2;
+// Shorter waits never cause a refusal, as the estimates are rough.
+constexpr duration kAlwaysAcceptableWait = std::chrono::milliseconds(300);
+// Lower bound of the fraction of slots that a job is assumed to get.
+constexpr double kMinSlotShare = 0.2;
+constexpr duration kMinRetryAfter = std::chrono::seconds(1);
+constexpr duration kMaxRetryAfter = std::chrono::seconds(60);
 
 duration RetryAfter(duration excess) {
-  return std::clamp(excess, kShortestRetryAfter, kLongestRetryAfter);
+  return std::clamp(excess, kMinRetryAfter, kMaxRetryAfter);
 }
 
-// How much later the job ends than on idle upstreams.
+// Estimates how much later the job ends than it would on idle upstreams.
 duration ExpectedWait(const admission_facts& facts) {
   double left = std::max(facts.usable_slots - facts.slots_taken_before,
-                         facts.usable_slots * kLeastShare);
+                         facts.usable_slots * kMinSlotShare);
   double own_work = ToSeconds(facts.own_work);
   double all_work = ToSeconds(facts.work_ahead) + own_work;
   return FromSeconds(all_work / left - own_work / facts.usable_slots);
@@ -36,18 +36,19 @@
   if (upstreams_known && facts.memory_mb > facts.largest_upstream_mb)
     return {admission_verdict::kNoUpstreamFits, duration::zero()};
   if (facts.queued_tasks + facts.tasks > caps.waiting_tasks)
-    return {admission_verdict::kTooManyTasks, kShortestRetryAfter};
+    return {admission_verdict::kTooManyTasks, kMinRetryAfter};
   if (facts.queued_bytes + facts.payload_bytes > caps.payload_bytes)
-    return {admission_verdict::kTooManyBytes, kShortestRetryAfter};
+    return {admission_verdict::kTooManyBytes, kMinRetryAfter};
   if (facts.usable_slots <= 0)
     return {admission_verdict::kAdmit, duration::zero()};
 
   duration wait = ExpectedWait(facts);
-  duration tolerated = std::max(
-      FromSeconds(ToSeconds(facts.target) * kFarBeyondTarget), kShortWait);
+  duration tolerated =
+      std::max(FromSeconds(ToSeconds(facts.target) * kMaxWaitPerTarget),
+               kAlwaysAcceptableWait);
   if (wait > tolerated)
     return {admission_verdict::kWouldMissTarget, RetryAfter(wait - tolerated)};
-  if (wait > kShortWait && wait > facts.timeout)
+  if (wait > kAlwaysAcceptableWait && wait > facts.timeout)
     return {admission_verdict::kWouldTimeOut, RetryAfter(wait - facts.timeout)};
   return {admission_verdict::kAdmit, duration::zero()};
 }
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,4 +1,4 @@
-// Whether a job is taken or refused at once.
+// Decides whether a job is accepted or refused on arrival.
 
 #ifndef SRC_POLICY_ADMISSION_H_
 #define SRC_POLICY_ADMISSION_H_
@@ -9,14 +9,14 @@
 
 enum class admission_verdict {
   kAdmit,
-  kNoUpstreamFits,   // no known upstream can ever hold one of its tasks
-  kTooManyTasks,     // the queue is at its cap of tasks
-  kTooManyBytes,     // the queue is at its cap of payload bytes
-  kWouldMissTarget,  // the wait is far beyond the class's target
-  kWouldTimeOut,     // it could not finish within the caller's timeout
+  kNoUpstreamFits,   // no known upstream has the memory for its tasks
+  kTooManyTasks,     // the queue would exceed its limit of tasks
+  kTooManyBytes,     // the queue would exceed its limit of payload bytes
+  kWouldMissTarget,  // the wait would far exceed the class's target
+  kWouldTimeOut,     // the wait would exceed the caller's timeout
 };
 
-// Caps that bound the memory of the queue whatever arrives.
+// Limits that bound the memory used by the queue.
 struct queue_caps {
   int waiting_tasks = 50'000;
   int64_t payload_bytes = 64 * 1024 * 1024;
@@ -31,13 +31,13 @@
   duration target{};
   duration timeout{};
 
-  // The most memory that a known upstream has; 0 if none is known.
+  // Memory of the largest known upstream; 0 if none is known.
   int largest_upstream_mb = 0;
-  // Slots of the failure domain, and those of them that jobs with a better
-  // rank keep busy as they arrive.
+  // Usable slots of the failure domain, and how many of them newly arriving
+  // jobs of a better rank keep busy.
   double usable_slots = 0;
   double slots_taken_before = 0;
-  // Slot time that will be served before the job's own tasks.
+  // Slot time of the queued tasks that run before the job's own.
   duration work_ahead{};
   int queued_tasks = 0;
   int64_t queued_bytes = 0;
@@ -45,12 +45,12 @@
 
 struct admission_decision {
   admission_verdict verdict = admission_verdict::kAdmit;
-  // When trying again is likely to succeed; zero if it never will.
+  // Delay after which a retry is likely to succeed; zero if it never will.
   duration retry_after{};
 };
 
-// A job is refused only for the wait that it would have, not for being large:
-// the time that it would take on idle upstreams is not counted against it.
+// Refuses a job because of the wait it would have, not because of its run time:
+// the time that it takes on idle upstreams does not count as wait.
 admission_decision DecideAdmission(const admission_facts& facts,
                                    const queue_caps& caps);
 
--- a/src/policy/arrival_meter.cc
+++ b/src/policy/arrival_meter.cc
@@ -7,17 +7,18 @@
 
 namespace {
 
-constexpr double kFadeSeconds = 10;
-// Two buckets for each doubling, the first one up to 10 ms.
+// Time constant of the exponential decay.
+constexpr double kDecaySeconds = 10;
+// Two buckets per doubling of the rank. The first bucket ends at 10 ms.
 constexpr double kBucketsPerDoubling = 2;
-constexpr double kFirstRank = 0.01;
+constexpr double kFirstBucketRank = 0.01;
 
 }  // namespace
 
 void arrival_meter::Record(double rank, duration work, time_point now) {
-  double kept = Kept(now);
+  double decay = DecayFactor(now);
   for (double& each : work_)
-    each *= kept;
+    each *= decay;
   updated_ = now;
   work_[Bucket(rank)] += ToSeconds(work);
 }
@@ -26,20 +27,21 @@
   double seconds = 0;
   for (int i = 0; i < Bucket(rank); ++i)
     seconds += work_[i];
-  // A steady rate r, fading with time constant T, adds up to r * T.
-  return seconds * Kept(now) / kFadeSeconds;
+  // With a decay time constant of T, work that arrives at a steady rate r sums
+  // up to r * T.
+  return seconds * DecayFactor(now) / kDecaySeconds;
 }
 
 int arrival_meter::Bucket(double rank) {
-  if (rank <= kFirstRank)
+  if (rank <= kFirstBucketRank)
     return 0;
-  double doublings = std::log2(rank / kFirstRank);
+  double doublings = std::log2(rank / kFirstBucketRank);
   int bucket = static_cast<int>(doublings * kBucketsPerDoubling) + 1;
   return std::min(bucket, kBuckets - 1);
 }
 
-double arrival_meter::Kept(time_point now) const {
-  return std::exp(-ToSeconds(now - updated_) / kFadeSeconds);
+double arrival_meter::DecayFactor(time_point now) const {
+  return std::exp(-ToSeconds(now - updated_) / kDecaySeconds);
 }
 
 }  // namespace jasminedyke
--- a/src/policy/arrival_meter.h
+++ b/src/policy/arrival_meter.h
@@ -1,4 +1,4 @@
-// How much work arrives that goes before a job of a given rank.
+// Measures the rate of arriving work by rank.
 
 #ifndef SRC_POLICY_ARRIVAL_METER_H_
 #define SRC_POLICY_ARRIVAL_METER_H_
@@ -9,25 +9,25 @@
 
 namespace jasminedyke {
 
-// Work of admitted jobs over the last seconds, by their rank at arrival. A job
-// of low rank waits not only for the work that is there but also for what
-// keeps arriving before it; with only the former counted, large jobs would be
-// admitted under overload and then starve. Constant memory.
+// Sums the work of recently admitted jobs by their rank at arrival. A job with
+// a high rank waits not only for the queued work but also for work that arrives
+// later with a lower rank. If only queued work counted, large jobs would be
+// admitted under overload and then starve. Uses constant memory.
 class arrival_meter {
  public:
-  // `rank` as of `order_rule::Rank` at arrival, in seconds.
+  // `rank` is the job's `order_rule::Rank` at arrival, in seconds.
   void Record(double rank, duration work, time_point now);
 
-  // Slots that arrivals of a better rank keep busy.
+  // Average number of slots that arriving jobs of a lower rank keep busy.
   double SlotsBefore(double rank, time_point now) const;
 
  private:
   static constexpr int kBuckets = 40;
 
   static int Bucket(double rank);
-  double Kept(time_point now) const;
+  double DecayFactor(time_point now) const;
 
-  // Seconds of work, fading; bucket `i` has ranks up to a power of two.
+  // Exponentially decaying sums of work in seconds, by range of rank.
   std::array<double, kBuckets> work_{};
   time_point updated_;
 };
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -1,5 +1,6 @@
-// Public header of the policy library: every decision of the dispatcher, as
-// functions and state machines of time and messages, without I/O.
+// Public header of the policy library, which makes the dispatcher's decisions
+// in functions and state machines that depend on time and messages only and do
+// no I/O.
 
 #ifndef SRC_POLICY_POLICY_H_
 #define SRC_POLICY_POLICY_H_
