--- a/src/policy/slot_home.h
+++ b/src/policy/slot_home.h
@@ -84,8 +84,9 @@
   struct upstream_slots {
     instance_info info;
     int held = 0;
-    // Estimate, from the upstream's refusals, of the slots used by another home
-    // or by an instance without a home. Decays over time.
+    // Estimate of the slots used by another home or by instances without a
+    // home, from refusals and from the number of unreachable instances. Decays
+    // over time.
     int external_use = 0;
     time_point external_use_decays_at;
     time_point leaving_until;
