--- a/tests/slot_home/slot_home_test.cc
+++ b/tests/slot_home/slot_home_test.cc
@@ -1,4 +1,4 @@
-// The protocol between the home of the slots and their holders.
+// Tests the protocol between `slot_home` and the holders of slots.
 
 #include <map>
 #include <random>
@@ -40,7 +40,7 @@
       demand.waiting.push_back({team, rank, tasks, 0});
     return demand;
   }
-  void Settle() { clock.Advance(std::chrono::milliseconds(400)); }
+  void WaitForGrants() { clock.Advance(std::chrono::milliseconds(400)); }
 
   manual_scheduler clock;
   membership_view view;
@@ -49,22 +49,23 @@
   slot_home home;
 };
 
-TEST_CASE("slot_home: slots go in the order of the whole failure domain") {
+TEST_CASE(
+    "slot_home: grants follow the order of all jobs of the failure domain") {
   fixture f;
   f.home.OnDemand(kE0, f.Demand(5, 10));
   f.home.OnDemand(kE1, f.Demand(1, 1));
-  f.Settle();
+  f.WaitForGrants();
   CHECK(f.granted[kE1].size() == 1);
   CHECK(f.granted[kE0].size() == 1);
   CHECK(f.home.held(kU0) == 2);
   f.home.OnRelease(kE1, {{{kU0, slot_result::kAnswered}}});
-  f.Settle();
+  f.WaitForGrants();
   CHECK(f.granted[kE0].size() == 2);
 }
 
-// A new home does not know what is held. If it granted at once, upstreams
-// would be asked for more than they have.
-TEST_CASE("slot_home: a new home waits for reports of what is held") {
+// A new home does not know which slots are held. If it granted slots at once,
+// upstreams would get more starts than they have slots.
+TEST_CASE("slot_home: a new home waits for reports of held slots") {
   fixture f;
   f.home.OnDemand(kE0, f.Demand(1, 5));
   f.clock.Advance(std::chrono::milliseconds(100));
@@ -72,19 +73,19 @@
   slot_demand holding = f.Demand(1, 0);
   holding.held.push_back({kU0, 2});
   f.home.OnDemand(kE1, holding);
-  f.Settle();
+  f.WaitForGrants();
   CHECK(f.granted[kE0].empty());
   f.home.OnRelease(kE1, {{{kU0, slot_result::kAnswered}}});
-  f.Settle();
+  f.WaitForGrants();
   CHECK(f.granted[kE0].size() == 1);
 }
 
-// A holder dies with slots. After its silence they are granted again.
-TEST_CASE("slot_home: the slots of a silent holder come back") {
+// A holder dies while it holds slots. They are granted again after the timeout.
+TEST_CASE("slot_home: the slots of a silent holder are granted again") {
   fixture f;
   f.home.OnDemand(kE0, f.Demand(1, 2));
   f.home.OnDemand(kE1, f.Demand(1, 0));
-  f.Settle();
+  f.WaitForGrants();
   REQUIRE(f.granted[kE0].size() == 2);
   for (int i = 0; i < 10; ++i) {
     f.home.OnDemand(kE1, f.Demand(1, 1));
@@ -104,7 +105,7 @@
   demand.waiting.push_back({team_id("small"), 9, 10, 0});
   f.home.OnDemand(kE0, demand);
   f.home.OnDemand(kE1, f.Demand(1, 0));
-  f.Settle();
+  f.WaitForGrants();
   std::map<std::string, int> by_team;
   for (const granted_slot& slot : f.granted[kE0])
     ++by_team[slot.team.str()];
@@ -112,10 +113,10 @@
   CHECK(by_team["big"] == 2);
 }
 
-// Random holders ask, start, release, fall silent for a while and lose their
-// links. While all agree on the home, no upstream is ever granted beyond its
-// slots, and all work is granted in the end.
-TEST_CASE("slot_home: never more slots than there are") {
+// Two holders send reports, start tasks and release slots in random order and
+// with random delays. While they use the same home, grants never exceed the
+// slots of an upstream, and all tasks get a slot in the end.
+TEST_CASE("slot_home: never grants more slots than upstreams have") {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
     std::mt19937_64 random(seed);
--- a/tests/spill_slots/spill_slots_test.cc
+++ b/tests/spill_slots/spill_slots_test.cc
@@ -1,4 +1,4 @@
-// Tasks in other failure domains.
+// Tests the start of tasks in other failure domains.
 
 #include <memory>
 #include <string>
@@ -12,7 +12,7 @@
 
 const failure_domain_id kOther("other");
 
-// Two own upstreams "u0", "u1" and two of another domain, "u2" and "u3".
+// The own domain has upstreams "u0" and "u1", the other one "u2" and "u3".
 struct fixture {
   fixture()
       : table(failure_domain_id("d")),
@@ -23,7 +23,7 @@
     list.instances[3].failure_domain = kOther;
     view.Update(list);
     table.SetMembership(view);
-    // A strategy that starts nothing by itself.
+    // A share beyond the last slot, so that this strategy starts no tasks.
     auto split = std::make_unique<static_split_slots>(clock, table, jobs);
     split->SetShare(9, 9);
     jobs.SetStrategy(std::move(split),
@@ -36,7 +36,7 @@
     spec.tasks.resize(tasks);
     jobs.Submit(std::move(spec), [](const job_outcome&) {});
   }
-  void QuarantineOwn() {
+  void QuarantineLocalUpstreams() {
     for (const char* id : {"u0", "u1"}) {
       for (int i = 0; i < 3; ++i)
         table.health().Record({upstream_id(id), slot_result::kUnreachable},
@@ -53,9 +53,9 @@
   spill_slots spill;
 };
 
-// Many tasks wait, but own upstreams work: tasks elsewhere would get that
-// domain's own tasks refused.
-TEST_CASE("spill_slots: not while an own upstream is fit") {
+// Many tasks wait, but the own upstreams are fit. Tasks sent to another domain
+// would cause refusals of that domain's own tasks.
+TEST_CASE("spill_slots: starts nothing while an own upstream is fit") {
   fixture f;
   f.spill.SetRoom({kOther, 40});
   f.Submit(100);
@@ -63,13 +63,13 @@
   CHECK(f.port.attempts.empty());
 }
 
-TEST_CASE("spill_slots: a part of the room is used") {
+TEST_CASE("spill_slots: uses only part of the announced room") {
   fixture f;
-  f.QuarantineOwn();
+  f.QuarantineLocalUpstreams();
   f.spill.SetRoom({kOther, 8});
   f.Submit(20);
   f.spill.OnWorkChanged();
-  // A quarter of the room: other instances heard of it, too.
+  // A quarter of the room, as other instances use it too.
   REQUIRE(f.port.attempts.size() == 2);
   for (const auto& attempt : f.port.attempts) {
     upstream_id id = attempt.request.upstream;
@@ -77,11 +77,11 @@
   }
 }
 
-// All own upstreams are gone. The other domain serves, and the home of the own
-// one is not asked for slots that can't be reached.
-TEST_CASE("spill_slots: others serve when no own upstream is fit") {
+// All own upstreams are quarantined. Tasks start in the other domain, and no
+// slots are requested from the own domain's home.
+TEST_CASE("spill_slots: uses another domain when no own upstream is fit") {
   fixture f;
-  f.QuarantineOwn();
+  f.QuarantineLocalUpstreams();
   CHECK_FALSE(f.spill.OnlyOthersCanServe());
   f.spill.SetRoom({kOther, 40});
   CHECK(f.spill.OnlyOthersCanServe());
@@ -90,11 +90,11 @@
   CHECK(f.port.attempts.size() == 1);
 }
 
-// The news was wrong: the first refusal ends the use of that room until there
-// is news again, so little is wasted.
+// The announced room is outdated. The first refusal ends its use until the next
+// announcement, which limits the number of wasted starts.
 TEST_CASE("spill_slots: a refusal ends the use of a room") {
   fixture f;
-  f.QuarantineOwn();
+  f.QuarantineLocalUpstreams();
   f.spill.SetRoom({kOther, 40});
   f.Submit(20);
   f.spill.OnWorkChanged();
@@ -106,9 +106,9 @@
   CHECK(f.port.attempts.size() == started);
 }
 
-TEST_CASE("spill_slots: old news is not believed") {
+TEST_CASE("spill_slots: announced room expires") {
   fixture f;
-  f.QuarantineOwn();
+  f.QuarantineLocalUpstreams();
   f.spill.SetRoom({kOther, 40});
   f.clock.Advance(std::chrono::seconds(4));
   f.Submit(20);
