--- a/src/policy/granted_slots.cc
+++ b/src/policy/granted_slots.cc
@@ -173,7 +173,7 @@
 void granted_slots::ReportIfNeeded() {
   // No upstream of this domain is usable, so a grant would be of no use.
   // Heartbeats still send demands, which detects the return of an upstream.
-  if (home_.empty() || spill_.OnlyOthersCanServe())
+  if (home_.empty() || spill_.OnlyOtherDomainsCanServe())
     return;
   std::vector<demand_entry> waiting = host_.Demand(kMaxReportedEntriesPerTeam);
   if (ReportNeeded(waiting))
--- a/src/policy/spill_slots.cc
+++ b/src/policy/spill_slots.cc
@@ -45,7 +45,7 @@
     room.left = 0;
 }
 
-bool spill_slots::OnlyOthersCanServe() const {
+bool spill_slots::OnlyOtherDomainsCanServe() const {
   bool room = std::ranges::any_of(rooms_, [&](const auto& entry) {
     return IsFresh(entry.second) && entry.second.left > 0;
   });
--- a/src/policy/spill_slots.h
+++ b/src/policy/spill_slots.h
@@ -44,7 +44,7 @@
 
   // Whether no upstream of the own domain is fit and another domain has free
   // slots, so that requesting slots of the own domain is useless.
-  bool OnlyOthersCanServe() const;
+  bool OnlyOtherDomainsCanServe() const;
 
  private:
   struct known_room {
--- a/tests/spill_slots/spill_slots_test.cc
+++ b/tests/spill_slots/spill_slots_test.cc
@@ -82,9 +82,9 @@
 TEST_CASE("spill_slots: uses another domain when no own upstream is fit") {
   fixture f;
   f.QuarantineLocalUpstreams();
-  CHECK_FALSE(f.spill.OnlyOthersCanServe());
+  CHECK_FALSE(f.spill.OnlyOtherDomainsCanServe());
   f.spill.SetRoom({kOther, 40});
-  CHECK(f.spill.OnlyOthersCanServe());
+  CHECK(f.spill.OnlyOtherDomainsCanServe());
   f.Submit(1);
   f.spill.OnWorkChanged();
   CHECK(f.port.attempts.size() == 1);
