--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -129,7 +129,7 @@
   return running;
 }
 
-bool dispatcher::StartOn(const start_order& order) {
+bool dispatcher::StartOn(const start_request& order) {
   bool may_start = order.granted
                        ? upstreams_.HasRoom(order.upstream, clock_.now())
                        : upstreams_.MayStart(order.upstream, clock_.now());
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -76,7 +76,7 @@
   int waiting_tasks() const override { return queue_.waiting_tasks(); }
   std::vector<demand_entry> Demand(size_t limit_per_team) const override;
   std::vector<team_count> running_by_team() const override;
-  bool StartOn(const start_order& order) override;
+  bool StartOn(const start_request& order) override;
   void SendToPeer(const instance_id& peer,
                   const slot_message& message) override;
 
--- a/src/policy/granted_slots.cc
+++ b/src/policy/granted_slots.cc
@@ -140,7 +140,7 @@
       break;
     }
   }
-  start_order order{slot.upstream, slot.team, true, slot.trial};
+  start_request order{slot.upstream, slot.team, true, slot.trial};
   if (!within_lease || !host_.StartOn(order))
     Release({slot.upstream, slot_result::kUnused});
 }
--- a/src/policy/slot_strategy.h
+++ b/src/policy/slot_strategy.h
@@ -12,7 +12,7 @@
 namespace jasminedyke {
 
 // Request to start one task.
-struct start_order {
+struct start_request {
   upstream_id upstream{};
   // Empty for a task of any team.
   team_id team{};
@@ -35,7 +35,7 @@
 
   // Starts the best waiting task that fits the order. Returns false if there is
   // none or the upstream can't take one now.
-  virtual bool StartOn(const start_order& order) = 0;
+  virtual bool StartOn(const start_request& order) = 0;
 
   virtual void SendToPeer(const instance_id& peer,
                           const slot_message& message) = 0;
