--- a/src/policy/spill_slots.cc
+++ b/src/policy/spill_slots.cc
@@ -38,7 +38,7 @@
   const upstream_state* state = upstreams_.Find(slot.upstream);
   if (!state || state->local)
     return;
-  known_room& room = rooms_[state->info.failure_domain];
+  announced_room& room = rooms_[state->info.failure_domain];
   if (slot.result == slot_result::kAnswered)
     ++room.left;
   else
@@ -52,7 +52,7 @@
   return room && FitOwnSlots() == 0;
 }
 
-bool spill_slots::IsFresh(const known_room& room) const {
+bool spill_slots::IsFresh(const announced_room& room) const {
   return clock_.now() - room.updated <= kRoomExpiry;
 }
 
--- a/src/policy/spill_slots.h
+++ b/src/policy/spill_slots.h
@@ -47,12 +47,12 @@
   bool OnlyOtherDomainsCanServe() const;
 
  private:
-  struct known_room {
+  struct announced_room {
     int left = 0;
     time_point updated;
   };
 
-  bool IsFresh(const known_room& room) const;
+  bool IsFresh(const announced_room& room) const;
   int FitOwnSlots() const;
   bool StartInOtherDomain();
   std::vector<const upstream_state*> UsableUpstreams(
@@ -62,7 +62,7 @@
   const upstream_table& upstreams_;
   slot_host& host_;
   std::mt19937_64 random_;
-  std::map<failure_domain_id, known_room> rooms_;
+  std::map<failure_domain_id, announced_room> rooms_;
 };
 
 }  // namespace jasminedyke
