--- a/src/policy/spill_slots.cc
+++ b/src/policy/spill_slots.cc
@@ -28,7 +28,7 @@
 }
 
 void spill_slots::OnWorkChanged() {
-  if (rooms_.empty() || host_.waiting_tasks() == 0 || FitOwnSlots() > 0)
+  if (rooms_.empty() || host_.waiting_tasks() == 0 || FitLocalSlots() > 0)
     return;
   while (host_.waiting_tasks() > 0 && StartInOtherDomain()) {
   }
@@ -49,14 +49,14 @@
   bool room = std::ranges::any_of(rooms_, [&](const auto& entry) {
     return IsFresh(entry.second) && entry.second.left > 0;
   });
-  return room && FitOwnSlots() == 0;
+  return room && FitLocalSlots() == 0;
 }
 
 bool spill_slots::IsFresh(const announced_room& room) const {
   return clock_.now() - room.updated <= kRoomExpiry;
 }
 
-int spill_slots::FitOwnSlots() const {
+int spill_slots::FitLocalSlots() const {
   int slots = 0;
   for (const upstream_id& id : upstreams_.local()) {
     const upstream_state* state = upstreams_.Find(id);
--- a/src/policy/spill_slots.h
+++ b/src/policy/spill_slots.h
@@ -53,7 +53,7 @@
   };
 
   bool IsFresh(const announced_room& room) const;
-  int FitOwnSlots() const;
+  int FitLocalSlots() const;
   bool StartInOtherDomain();
   std::vector<const upstream_state*> UsableUpstreams(
       const failure_domain_id& domain) const;
