--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -197,7 +197,7 @@
 
   queued_job as_queued = AsQueued(spec, estimate);
   facts.work_ahead = queue_.WorkAhead(as_queued);
-  facts.slots_taken_before =
+  facts.slots_used_by_better_ranks =
       arrivals_.SlotsBefore(queue_.RankAtArrival(as_queued), clock_.now());
   if (!look_elsewhere_)
     return facts;
@@ -208,7 +208,7 @@
   facts.work_ahead += FromSeconds(ToSeconds(facts.work_ahead) * waiting /
                                   (queue_.waiting_tasks() + kFewWaitingTasks));
   if (!attempts_.empty())
-    facts.slots_taken_before *=
+    facts.slots_used_by_better_ranks *=
         1 + running / static_cast<double>(attempts_.size());
   return facts;
 }
--- a/src/policy/admission.cc
+++ b/src/policy/admission.cc
@@ -21,7 +21,7 @@
 
 // Estimates how much later the job ends than it would on idle upstreams.
 duration ExpectedWait(const admission_facts& facts) {
-  double left = std::max(facts.usable_slots - facts.slots_taken_before,
+  double left = std::max(facts.usable_slots - facts.slots_used_by_better_ranks,
                          facts.usable_slots * kMinSlotShare);
   double own_work = ToSeconds(facts.own_work);
   double all_work = ToSeconds(facts.work_ahead) + own_work;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -36,7 +36,7 @@
   // Usable slots of the failure domain, and how many of them newly arriving
   // jobs of a better rank keep busy.
   double usable_slots = 0;
-  double slots_taken_before = 0;
+  double slots_used_by_better_ranks = 0;
   // Slot time of the queued tasks that run before the job's own.
   duration work_ahead{};
   int queued_tasks = 0;
