--- a/src/policy/membership.h
+++ b/src/policy/membership.h
@@ -1,4 +1,4 @@
-// Who is there: upstreams and entry instances, as the platform lists them.
+// The list of upstreams and entry instances that the platform publishes.
 
 #ifndef SRC_POLICY_MEMBERSHIP_H_
 #define SRC_POLICY_MEMBERSHIP_H_
@@ -14,10 +14,11 @@
 enum class instance_role { kUpstream, kEntry };
 enum class instance_state { kLive, kLeaving };
 
-// One row of the platform's list.
+// One upstream or entry instance in the membership list.
 struct instance_info {
   instance_id id;
-  // Where tasks go (upstream) or peers connect (entry instance): "IP:PORT".
+  // "IP:PORT" that accepts tasks (upstream) or connections of peers (entry
+  // instance).
   std::string address;
   instance_role role = instance_role::kUpstream;
   failure_domain_id failure_domain;
@@ -36,25 +37,27 @@
   std::vector<instance_info> instances;
 };
 
-// The newest list seen. The platform's answers and the peers' copies may come
-// in any order; an older one never replaces a newer one.
+// Holds the membership list with the highest version received so far. The
+// platform's answers and the peers' copies may arrive in any order; an older
+// list never replaces a newer one.
 class membership_view {
  public:
-  // False if `list` is not newer than what is known.
+  // Returns false and changes nothing if `list` is not newer than the current
+  // one.
   bool Update(const membership_list& list);
 
   membership_version version() const { return list_.version; }
   bool known() const { return list_.version.value() > 0; }
   const membership_list& list() const { return list_; }
 
-  // Null if not listed.
+  // Returns null if no instance with this id is listed.
   const instance_info* Find(const instance_id& id) const;
 
-  // Sorted by id.
+  // Entry instances of one failure domain or of all, sorted by id.
   std::vector<instance_info> entries(const failure_domain_id& domain) const;
   std::vector<instance_info> entries() const;
 
-  // Live slots of one failure domain, and of all.
+  // Total slots of the live upstreams of one failure domain or of all.
   int slots(const failure_domain_id& domain) const;
   int slots() const;
 
--- a/src/policy/rendezvous.h
+++ b/src/policy/rendezvous.h
@@ -1,4 +1,4 @@
-// Which entry instance is home to a failure domain's slots.
+// Chooses the entry instance that is home to a failure domain's slots.
 
 #ifndef SRC_POLICY_RENDEZVOUS_H_
 #define SRC_POLICY_RENDEZVOUS_H_
@@ -10,9 +10,10 @@
 
 namespace jasminedyke {
 
-// The candidate with the highest hash together with `subject` (rendezvous
-// hashing). All who see the same candidates choose the same one, and when one
-// goes only its own subjects move. Empty without candidates.
+// Returns the candidate whose id, hashed together with `subject`, gives the
+// highest value (rendezvous hashing). All instances with the same candidates
+// choose the same one, and removing a candidate moves only the subjects that
+// were assigned to it. Returns an empty id if there are no candidates.
 instance_id ChooseHome(const std::string& subject,
                        const std::vector<instance_id>& candidates);
 
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -1,4 +1,4 @@
-// Keeps retries to a share of first attempts.
+// Limits retries to a fraction of first attempts.
 
 #ifndef SRC_POLICY_RETRY_BUDGET_H_
 #define SRC_POLICY_RETRY_BUDGET_H_
@@ -9,24 +9,25 @@
 
 namespace jasminedyke {
 
-// Each first attempt earns a fraction of a retry, and so does time, up to a
-// reserve. When an upstream or a network fails everything, retries would
-// multiply the load just then; the budget bounds them at `kShare` of first
-// attempts plus `kPerSecond` and the reserve, however many tasks wait to be
-// retried. Time counts so that the last task of all need not wait for first
-// attempts that never come.
+// A token bucket that first attempts and elapsed time refill. Without it,
+// retries would multiply the load when an upstream or a network fails every
+// task. However many tasks wait to be retried, retries are limited to
+// `kRetriesPerFirstAttempt` of first attempts plus `kRetriesPerSecond` and a
+// burst of `kMaxBalance`. Elapsed time counts too, so that the last tasks can
+// be retried when no further first attempts arrive.
 class retry_budget {
  public:
-  static constexpr double kShare = 0.1;
-  static constexpr double kPerSecond = 20;
-  static constexpr double kReserve = 20;
+  static constexpr double kRetriesPerFirstAttempt = 0.1;
+  static constexpr double kRetriesPerSecond = 20;
+  static constexpr double kMaxBalance = 20;
 
-  void RecordFirstAttempt() { Earn(kShare); }
+  void RecordFirstAttempt() { Refill(kRetriesPerFirstAttempt); }
 
-  // False if the budget is spent; nothing is taken then.
+  // Takes one retry from the budget. Returns false and takes nothing if less
+  // than one is left.
   bool TakeRetry(time_point now) {
-    Earn(ToSeconds(now - refilled_) * kPerSecond);
-    refilled_ = now;
+    Refill(ToSeconds(now - refilled_at_) * kRetriesPerSecond);
+    refilled_at_ = now;
     if (balance_ < 1)
       return false;
     balance_ -= 1;
@@ -34,12 +35,12 @@
   }
 
  private:
-  void Earn(double retries) {
-    balance_ = std::min(kReserve, balance_ + retries);
+  void Refill(double retries) {
+    balance_ = std::min(kMaxBalance, balance_ + retries);
   }
 
-  double balance_ = kReserve;
-  time_point refilled_;
+  double balance_ = kMaxBalance;
+  time_point refilled_at_;
 };
 
 }  // namespace jasminedyke
--- a/src/policy/route_table.cc
+++ b/src/policy/route_table.cc
@@ -6,39 +6,40 @@
 
 namespace {
 
-// Removed routes that are remembered for peers that are behind.
-constexpr size_t kMostRemoved = 10'000;
+// Limit on the removed routes that are kept to update peers at older versions.
+constexpr size_t kMaxRemovedRoutes = 10'000;
 
-// Each part has its length in front, so that no two lists look alike.
-void AddPart(std::string* text, const std::string& part) {
-  *text += std::to_string(part.size());
+// Appends `field` with its length in front, so that different lists of fields
+// never give the same text.
+void AppendField(std::string* text, const std::string& field) {
+  *text += std::to_string(field.size());
   *text += ':';
-  *text += part;
+  *text += field;
 }
 
 uint64_t HashOf(const route& each) {
   std::string text;
-  for (const std::string& part :
+  for (const std::string& field :
        {each.name, each.host, each.path_prefix, each.service})
-    AddPart(&text, part);
-  AddPart(&text, std::to_string(each.timeout.count()));
-  AddPart(&text, std::to_string(each.target_latency.count()));
-  AddPart(&text, std::to_string(each.stretch));
-  AddPart(&text, std::to_string(each.max_attempts));
-  AddPart(&text, std::to_string(each.priority));
+    AppendField(&text, field);
+  AppendField(&text, std::to_string(each.timeout.count()));
+  AppendField(&text, std::to_string(each.target_latency.count()));
+  AppendField(&text, std::to_string(each.stretch));
+  AppendField(&text, std::to_string(each.max_attempts));
+  AppendField(&text, std::to_string(each.priority));
   return StableHash(text);
 }
 
 uint64_t HashOfGlobals(const routing_config& config) {
   std::string text;
   for (const auto& [name, service] : config.services) {
-    AddPart(&text, name);
-    AddPart(&text, service.health_path);
-    AddPart(&text, std::to_string(service.guarded));
-    AddPart(&text, std::to_string(service.max_connections));
+    AppendField(&text, name);
+    AppendField(&text, service.health_path);
+    AppendField(&text, std::to_string(service.guarded));
+    AppendField(&text, std::to_string(service.max_connections));
   }
-  AddPart(&text, std::to_string(config.max_header_bytes));
-  AddPart(&text, std::to_string(config.max_body_bytes));
+  AppendField(&text, std::to_string(config.max_header_bytes));
+  AppendField(&text, std::to_string(config.max_body_bytes));
   return StableHash(text);
 }
 
@@ -52,24 +53,24 @@
   if (config.version <= version_)
     return false;
   bool is_first = !known();
-  std::map<route_key, const route*> wanted;
+  std::map<route_key, const route*> new_routes;
   for (const route& each : config.routes)
-    wanted[KeyOf(each)] = &each;
-  std::vector<route_key> gone;
+    new_routes[KeyOf(each)] = &each;
+  std::vector<route_key> removed_keys;
   for (const auto& [host, by_prefix] : routes_) {
     for (const auto& [prefix, known] : by_prefix) {
       route_key key{host, prefix};
-      if (!wanted.contains(key))
-        gone.push_back(std::move(key));
+      if (!new_routes.contains(key))
+        removed_keys.push_back(std::move(key));
     }
   }
-  for (const route_key& key : gone)
+  for (const route_key& key : removed_keys)
     Remove(key, config.version);
-  for (const auto& [key, each] : wanted)
+  for (const auto& [key, each] : new_routes)
     Put(*each, config.version);
   SetGlobals(config);
   version_ = config.version;
-  if (is_first || removed_.size() > kMostRemoved)
+  if (is_first || removed_.size() > kMaxRemovedRoutes)
     ForgetRemoved();
   return true;
 }
@@ -77,8 +78,8 @@
 update_outcome route_table::Apply(const routing_update& update) {
   if (update.to.version <= version_)
     return update_outcome::kNotNewer;
-  bool is_whole = update.base.value() == 0;
-  if (is_whole) {
+  bool is_full_copy = update.base.value() == 0;
+  if (is_full_copy) {
     Update(update.to);
     return update_outcome::kApplied;
   }
@@ -90,7 +91,7 @@
     Put(each, update.to.version);
   SetGlobals(update.to);
   version_ = update.to.version;
-  if (removed_.size() > kMostRemoved)
+  if (removed_.size() > kMaxRemovedRoutes)
     ForgetRemoved();
   return update_outcome::kApplied;
 }
@@ -112,19 +113,19 @@
 
 routing_update route_table::ChangesSince(config_version base) const {
   routing_update update;
-  bool is_whole = base.value() == 0 || base < removals_known_since_;
-  if (!is_whole)
+  bool is_full_copy = base.value() == 0 || base < removals_known_since_;
+  if (!is_full_copy)
     update.base = base;
   update.to = globals_;
   update.to.version = version_;
   update.digest = digest_;
   for (const auto& [host, by_prefix] : routes_) {
     for (const auto& [prefix, known] : by_prefix) {
-      if (is_whole || known.changed > base)
-        update.to.routes.push_back(known.what);
+      if (is_full_copy || known.changed > base)
+        update.to.routes.push_back(known.definition);
     }
   }
-  if (is_whole)
+  if (is_full_copy)
     return update;
   for (const auto& [key, version] : removed_) {
     if (version > base)
@@ -144,7 +145,7 @@
 void route_table::Put(const route& each, config_version version) {
   auto [found, is_new] = routes_[each.host].try_emplace(each.path_prefix);
   entry& known = found->second;
-  if (!is_new && known.what == each)
+  if (!is_new && known.definition == each)
     return;
   digest_ -= known.hash;
   known = {each, HashOf(each), version};
@@ -175,7 +176,7 @@
   digest_ += HashOfGlobals(globals_);
 }
 
-// Peers at earlier versions get everything from then on.
+// From now on peers at earlier versions get a full copy.
 void route_table::ForgetRemoved() {
   removed_.clear();
   removals_known_since_ = version_;
@@ -187,13 +188,13 @@
   if (found == routes_.end())
     return nullptr;
   const auto& by_prefix = found->second;
-  // Cutting the path at one slash after the other, from its end, looks up a
-  // few prefixes however many routes the host has.
+  // Looks up the path and then each shorter prefix that ends with a slash, so
+  // the cost depends on the depth of the path and not on the number of routes.
   size_t end = path.size();
   while (true) {
     auto entry = by_prefix.find(path.substr(0, end));
     if (entry != by_prefix.end())
-      return &entry->second.what;
+      return &entry->second.definition;
     size_t slash = end < 2 ? std::string::npos : path.rfind('/', end - 2);
     if (slash == std::string::npos)
       return nullptr;
--- a/src/policy/route_table.h
+++ b/src/policy/route_table.h
@@ -1,5 +1,5 @@
-// Which class of work a caller's path belongs to, and what changed from one
-// version of the configuration to another.
+// Maps request paths to classes of work and computes the difference between
+// versions of the configuration.
 
 #ifndef SRC_POLICY_ROUTE_TABLE_H_
 #define SRC_POLICY_ROUTE_TABLE_H_
@@ -14,7 +14,7 @@
 
 namespace jasminedyke {
 
-// One class of work, as operators configure it.
+// The settings of one class of work, as operators configure them.
 struct route {
   std::string name;
   std::string host;
@@ -22,17 +22,19 @@
   std::string path_prefix;
   std::string service;
   duration timeout = duration::zero();
-  // Beyond `stretch` times the job's longest chain of work.
+  // Time allowed in addition to `stretch` times the job's longest chain of
+  // work.
   duration target_latency = duration::zero();
   double stretch = 1;
   int max_attempts = 1;
-  // 0 goes first.
+  // Lower values go first; 0 is the highest priority.
   int priority = 0;
 
   bool operator==(const route&) const = default;
 };
 
-// No two routes of a configuration share both.
+// Identifies a route: no two routes of a configuration have the same host and
+// path prefix.
 struct route_key {
   std::string host;
   std::string path_prefix;
@@ -41,8 +43,8 @@
 };
 
 struct service_settings {
-  // Its upstreams refuse what does not fit; if false, they start whatever they
-  // are told to.
+  // Whether the service's upstreams refuse tasks that exceed their capacity. If
+  // false, they start every task that is sent to them.
   bool guarded = true;
   int max_connections = 0;
   std::string health_path;
@@ -50,7 +52,7 @@
   bool operator==(const service_settings&) const = default;
 };
 
-// All routes of one version of the configuration.
+// All routes, services and limits of one version of the configuration.
 struct routing_config {
   config_version version;
   std::vector<route> routes;
@@ -61,14 +63,15 @@
   bool operator==(const routing_config&) const = default;
 };
 
-// What leads from one version of the configuration to another.
+// The difference between two versions of the configuration.
 struct routing_update {
-  // Holds all that changed since this version; 0: all there is.
+  // The version that the update applies to. 0 means a full copy.
   config_version base;
-  // Its routes are those that are new or changed.
+  // The new version, with only the new or changed routes unless it is a full
+  // copy.
   routing_config to;
   std::vector<route_key> removed;
-  // Of all that is in force at the version it leads to.
+  // Digest of the complete configuration after the update.
   uint64_t digest = 0;
 
   bool operator==(const routing_update&) const = default;
@@ -77,22 +80,26 @@
 enum class update_outcome {
   kApplied,
   kNotNewer,
-  // It builds on something else than what is in force here.
+  // The digest shows that the update was made for another configuration than
+  // the current one.
   kMismatch,
 };
 
-// Looks routes up. Only moves to higher versions.
+// Finds the route of a request and tracks which routes changed in which
+// version. The version never decreases.
 class route_table {
  public:
-  // False if `config` is not newer than what is in force.
+  // Returns false and changes nothing if `config` is not newer than the current
+  // version.
   bool Update(const routing_config& config);
 
-  // All of it is taken or nothing.
+  // Applies the whole update or nothing of it.
   update_outcome Apply(const routing_update& update);
 
-  // What an instance at version `base` lacks. It may hold more than that, and
-  // that instance may know routes that this one never saw: the digest tells.
-  // Everything, if the changes since then are not known.
+  // Returns the changes that an instance at version `base` lacks, or a full
+  // copy if the changes since then are not known. The update may contain routes
+  // that the instance already has. The instance may also have routes that this
+  // one never received; it detects this by the digest.
   routing_update ChangesSince(config_version base) const;
 
   bool known() const { return version_.value() > 0; }
@@ -102,14 +109,15 @@
     return globals_.services;
   }
 
-  // The route with the longest prefix of `path`; null if there is none.
+  // Returns the route of `host` whose prefix is the longest that matches
+  // `path`; null if none matches.
   const route* Find(const std::string& host, const std::string& path) const;
 
  private:
   struct entry {
-    route what;
+    route definition;
     uint64_t hash = 0;
-    // The version with which this instance learnt of its last change.
+    // The version in which this instance received the route's last change.
     config_version changed;
   };
 
@@ -121,16 +129,17 @@
   uint64_t DigestAfter(const routing_update& update) const;
 
   config_version version_;
-  // Everything but the routes.
+  // All settings except the routes; `globals_.routes` stays empty.
   routing_config globals_;
-  // By host, then prefix.
+  // Routes by host, then by path prefix.
   std::map<std::string, std::map<std::string, entry>> routes_;
   size_t size_ = 0;
-  // The sum of all hashes, so that a change costs what it changes.
+  // Sum of the hashes of all routes and of the other settings. As it is a sum,
+  // a change updates it without hashing the unchanged routes again.
   uint64_t digest_ = 0;
-  // Routes that are gone, with the version that this instance then moved to.
+  // Removed routes, each with the version in which this instance removed it.
   std::map<route_key, config_version> removed_;
-  // `removed_` is complete from this version on.
+  // `removed_` holds every removal after this version.
   config_version removals_known_since_;
 };
 
--- a/tests/retry_budget/retry_budget_test.cc
+++ b/tests/retry_budget/retry_budget_test.cc
@@ -1,4 +1,4 @@
-// The bound on retries.
+// Tests of the limit on retries.
 
 #include <doctest/doctest.h>
 
@@ -7,8 +7,8 @@
 namespace jasminedyke {
 namespace {
 
-// Thousands of tasks wait to be retried for a minute, while 100 first attempts
-// a second go on. Retries must keep to their share.
+// For a minute thousands of tasks wait to be retried, while 100 first attempts
+// a second continue. Retries must stay within the budget.
 TEST_CASE("retry_budget: retries keep to their share whoever asks") {
   retry_budget budget;
   time_point now{std::chrono::hours(1)};
@@ -21,8 +21,9 @@
       now += std::chrono::microseconds(200);
     }
   }
-  double bound = 6000 * retry_budget::kShare + 60 * retry_budget::kPerSecond +
-                 2 * retry_budget::kReserve;
+  double bound = 6000 * retry_budget::kRetriesPerFirstAttempt +
+                 60 * retry_budget::kRetriesPerSecond +
+                 2 * retry_budget::kMaxBalance;
   CHECK(retries <= bound);
   CHECK(retries > 600);
 }
--- a/tests/route_table/route_table_test.cc
+++ b/tests/route_table/route_table_test.cc
@@ -1,4 +1,4 @@
-// Routes by versions: what leads from one to another, and what does not.
+// Tests of route lookup and of updates between versions of the configuration.
 
 #include <random>
 #include <string>
@@ -29,7 +29,7 @@
   return config;
 }
 
-// All that is in force, in an order of its own.
+// All routes of the table, in an order that does not depend on their history.
 routing_config Content(const route_table& table) {
   return table.ChangesSince(config_version()).to;
 }
@@ -85,7 +85,8 @@
   CHECK(Content(behind) == Content(ahead));
 }
 
-// Guards against an update that leaves an instance with a mixture of versions.
+// Guards against an update that leaves an instance with a mixture of versions:
+// the receiver has a change that the sender never received.
 TEST_CASE("route_table: a change that the sender never saw is not lost") {
   struct unseen_change {
     const char* what;
