--- a/src/policy/slot_home.cc
+++ b/src/policy/slot_home.cc
@@ -305,7 +305,7 @@
     return false;
   }
   upstream_id id(slots.info.id.str());
-  if (slots.held >= health_.MostUnderWay(id))
+  if (slots.held >= health_.MaxInFlight(id))
     return false;
   auto held = h.held.find(id);
   int sharers = std::max<int>(1, static_cast<int>(live_holders_.size()));
--- a/src/policy/upstream_health.cc
+++ b/src/policy/upstream_health.cc
@@ -131,7 +131,7 @@
 // An upstream that fails at once frees its slots at once, too. Were they all
 // filled again while the first failures are being reported, twice its slots
 // would be lost before its quarantine.
-int upstream_health::MostUnderWay(const upstream_id& upstream) const {
+int upstream_health::MaxInFlight(const upstream_id& upstream) const {
   auto found = records_.find(upstream);
   if (found == records_.end() || found->second.consecutive_failures == 0)
     return std::numeric_limits<int>::max();
--- a/src/policy/upstream_health.h
+++ b/src/policy/upstream_health.h
@@ -65,7 +65,7 @@
 
   // After a failure, how many tasks may be under way on it until the next
   // success; the maximum of `int` before.
-  int MostUnderWay(const upstream_id& upstream) const;
+  int MaxInFlight(const upstream_id& upstream) const;
 
   health_verdict verdict(const upstream_id& upstream, time_point now) const;
   // Run time over expected run time, as a moving mean. Without new runs it
