--- a/src/policy/run_time_model.cc
+++ b/src/policy/run_time_model.cc
@@ -67,7 +67,7 @@
                    static_cast<double>(step + 1) / kStepsPerDoubling);
 }
 
-double factor_counts::ShareFrom(double factor) const {
+double factor_counts::ShareAtLeast(double factor) const {
   if (total_ <= 0)
     return 0;
   double step = (std::log2(factor) - kLowestPower) * kStepsPerDoubling;
@@ -144,9 +144,9 @@
           Times(usual, LongestFactor(history.by_guess, kUnknownByGuess))};
 }
 
-double run_time_model::ShareFrom(const queue_id& queue,
-                                 double factor,
-                                 bool pace_known) const {
+double run_time_model::ShareAtLeast(const queue_id& queue,
+                                    double factor,
+                                    bool pace_known) const {
   const queue_history* history = Find(queue);
   if (!history || factor <= 0)
     return kRarest;
@@ -156,7 +156,7 @@
                                     : history->milliseconds;
   if (counts.total() < kEnough)
     return kRarest;
-  return std::max(counts.ShareFrom(factor * counts.Quantile(0.5)), kRarest);
+  return std::max(counts.ShareAtLeast(factor * counts.Quantile(0.5)), kRarest);
 }
 
 }  // namespace jasminedyke
--- a/src/policy/run_time_model.h
+++ b/src/policy/run_time_model.h
@@ -27,7 +27,7 @@
   // Below it lies `share` of all; the upper edge of a step.
   double Quantile(double share) const;
   // Share of all that reach `factor`.
-  double ShareFrom(double factor) const;
+  double ShareAtLeast(double factor) const;
 
  private:
   static constexpr size_t kSteps = 192;
@@ -64,7 +64,9 @@
   duration Reference(const queue_id& queue, duration guess) const;
   // Share of the queue's sound runs that take at least `factor` times what is
   // usual.
-  double ShareFrom(const queue_id& queue, double factor, bool pace_known) const;
+  double ShareAtLeast(const queue_id& queue,
+                      double factor,
+                      bool pace_known) const;
 
  private:
   struct queue_history {
--- a/src/runs/run_times.cc
+++ b/src/runs/run_times.cc
@@ -84,7 +84,8 @@
   if (pace_known)
     evidence.position = task.demand.position;
   upstreams_.Standing(ran_on.id).OnSlow(
-      now, evidence, model_.ShareFrom(job.request.queue, slowness, pace_known));
+      now, evidence,
+      model_.ShareAtLeast(job.request.queue, slowness, pace_known));
   return false;
 }
 
--- a/tests/run_time_model/run_time_model_test.cc
+++ b/tests/run_time_model/run_time_model_test.cc
@@ -89,9 +89,9 @@
   CHECK(beyond <= 5);
   // Long tasks leave what is usual alone.
   CHECK(f.UsualMs(milliseconds(50)) == doctest::Approx(50).epsilon(0.12));
-  CHECK(f.model.ShareFrom(kQueue, 4, false) ==
+  CHECK(f.model.ShareAtLeast(kQueue, 4, false) ==
         doctest::Approx(0.03).epsilon(0.7));
-  CHECK(f.model.ShareFrom(kQueue, 20, false) <= 0.01);
+  CHECK(f.model.ShareAtLeast(kQueue, 20, false) <= 0.01);
 }
 
 TEST_CASE("run_time_model: old tails fade, memory is bounded") {
