--- a/src/policy/upstream_speeds.cc
+++ b/src/policy/upstream_speeds.cc
@@ -54,11 +54,11 @@
   return each;
 }
 
-void upstream_speeds::Note(const upstream_id& id,
-                           const std::string& kind,
-                           duration usual,
-                           duration took,
-                           time_point now) {
+void upstream_speeds::RecordRun(const upstream_id& id,
+                                const std::string& kind,
+                                duration usual,
+                                duration took,
+                                time_point now) {
   if (usual <= duration::zero() || took <= duration::zero())
     return;
   Refresh(now);
--- a/src/policy/upstream_speeds.h
+++ b/src/policy/upstream_speeds.h
@@ -26,11 +26,11 @@
 class upstream_speeds {
  public:
   // A run that would have taken `usual` at the usual speed took `took`.
-  void Note(const upstream_id& id,
-            const std::string& kind,
-            duration usual,
-            duration took,
-            time_point now);
+  void RecordRun(const upstream_id& id,
+                 const std::string& kind,
+                 duration usual,
+                 duration took,
+                 time_point now);
   // The speed as another home learnt it; changes nothing if the upstream has
   // had runs since.
   void Take(const upstream_id& id,
--- a/src/runs/home_speeds.cc
+++ b/src/runs/home_speeds.cc
@@ -81,7 +81,7 @@
   if (other_incarnation)
     return;
   known_upstream& known = FindOrAdd(info);
-  learned_.Note(info.id, known.kind, usual, took, now);
+  learned_.RecordRun(info.id, known.kind, usual, took, now);
   Update(info.id, known);
   UpdateAll(now);
 }
--- a/tests/upstream_speeds/upstream_speeds_test.cc
+++ b/tests/upstream_speeds/upstream_speeds_test.cc
@@ -29,8 +29,8 @@
     if (std::uniform_real_distribution<>(0, 1)(random) < 0.03)
       length *= 7;
     constexpr double kUsual = 0.17;
-    speeds.Note(Id(i), kind, FromSeconds(kUsual * guess * ratio),
-                FromSeconds(kUsual * length / speed), now);
+    speeds.RecordRun(Id(i), kind, FromSeconds(kUsual * guess * ratio),
+                     FromSeconds(kUsual * length / speed), now);
   }
   // `runs` on each of them, in turn.
   void RunAll(const std::vector<double>& true_speeds, int runs) {
@@ -111,8 +111,8 @@
 TEST_CASE("speeds: one task of seven times the length changes nothing") {
   upstream_runs runs;
   runs.RunAll(std::vector<double>(10, 1.0), 60);
-  runs.speeds.Note(runs.Id(3), kKind, milliseconds(100), milliseconds(700),
-                   runs.now);
+  runs.speeds.RecordRun(runs.Id(3), kKind, milliseconds(100), milliseconds(700),
+                        runs.now);
   CHECK(runs.Of(3) == 1);
 }
 
@@ -129,8 +129,8 @@
   CHECK(fast > 1.2);
   CHECK(runs.speeds.Of(fresh, kKind) < 0.8);
   CHECK(runs.speeds.Of(fresh, "never seen") == 1);
-  runs.speeds.Note(fresh, "gen-2", milliseconds(100), milliseconds(75),
-                   runs.now);
+  runs.speeds.RecordRun(fresh, "gen-2", milliseconds(100), milliseconds(75),
+                        runs.now);
   CHECK(runs.speeds.Of(fresh, "gen-2") == doctest::Approx(fast));
 }
 
@@ -157,8 +157,8 @@
 
 TEST_CASE("speeds: without a guess nothing is learnt") {
   upstream_runs runs;
-  runs.speeds.Note(runs.Id(0), kKind, duration::zero(), milliseconds(50),
-                   runs.now);
+  runs.speeds.RecordRun(runs.Id(0), kKind, duration::zero(), milliseconds(50),
+                        runs.now);
   CHECK(runs.speeds.known().empty());
 }
 
