--- a/src/policy/upstream_speeds.cc
+++ b/src/policy/upstream_speeds.cc
@@ -74,10 +74,10 @@
   each.last_run = now;
 }
 
-void upstream_speeds::Take(const upstream_id& id,
-                           const std::string& kind,
-                           double speed,
-                           time_point now) {
+void upstream_speeds::AdoptSpeed(const upstream_id& id,
+                                 const std::string& kind,
+                                 double speed,
+                                 time_point now) {
   if (!(speed > 0))
     return;
   estimate& each = Find(id, kind, now);
--- a/src/policy/upstream_speeds.h
+++ b/src/policy/upstream_speeds.h
@@ -33,10 +33,10 @@
                  time_point now);
   // The speed as another home learnt it; changes nothing if the upstream has
   // had runs since.
-  void Take(const upstream_id& id,
-            const std::string& kind,
-            double speed,
-            time_point now);
+  void AdoptSpeed(const upstream_id& id,
+                  const std::string& kind,
+                  double speed,
+                  time_point now);
   // It is gone, or another incarnation has its id.
   void Forget(const upstream_id& id) { known_.erase(id); }
 
--- a/src/runs/home_speeds.cc
+++ b/src/runs/home_speeds.cc
@@ -161,7 +161,7 @@
     if (found == registered.end() || found->second.birth != each.birth)
       continue;
     known_upstream& known = FindOrAdd(found->second);
-    learned_.Take(each.id, known.kind, each.speed, now);
+    learned_.AdoptSpeed(each.id, known.kind, each.speed, now);
     Update(each.id, known);
     known.shared_speed = known.speed;
   }
--- a/tests/upstream_speeds/upstream_speeds_test.cc
+++ b/tests/upstream_speeds/upstream_speeds_test.cc
@@ -136,8 +136,8 @@
 
 TEST_CASE("speeds: what another home learnt counts until there are own runs") {
   upstream_runs runs;
-  runs.speeds.Take(runs.Id(0), kKind, 0.6, runs.now);
-  runs.speeds.Take(runs.Id(1), kKind, 1.6, runs.now);
+  runs.speeds.AdoptSpeed(runs.Id(0), kKind, 0.6, runs.now);
+  runs.speeds.AdoptSpeed(runs.Id(1), kKind, 1.6, runs.now);
   CHECK(runs.Of(0) == doctest::Approx(0.6));
   CHECK(runs.Of(1) == doctest::Approx(1.6));
   SUBCASE("own runs go before news") {
@@ -145,7 +145,7 @@
       runs.Run(0, 1);
       runs.Run(1, 1);
     }
-    runs.speeds.Take(runs.Id(0), kKind, 0.3, runs.now);
+    runs.speeds.AdoptSpeed(runs.Id(0), kKind, 0.3, runs.now);
     CHECK(runs.Of(0) == doctest::Approx(1).epsilon(0.2));
   }
   SUBCASE("an upstream that is forgotten has its kind's speed") {
