--- a/src/policy/run_time_estimator.cc
+++ b/src/policy/run_time_estimator.cc
@@ -8,18 +8,19 @@
 namespace {
 
 constexpr duration kWindow = std::chrono::seconds(20);
-constexpr uint64_t kEnoughTasks = 8;
-// Assumed of a class of which nothing is known and nothing declared.
-constexpr duration kUnknownRunTime = std::chrono::milliseconds(300);
+constexpr uint64_t kMinTasks = 8;
+// Assumed for a class with too few finished tasks when the caller declares no
+// shorter time.
+constexpr duration kDefaultRunTime = std::chrono::milliseconds(300);
 constexpr duration kShortestRunTime = std::chrono::milliseconds(1);
 constexpr duration kLongestDeclared = std::chrono::seconds(30);
-// The declared value must narrow the spread at least by this factor to be
-// used.
-constexpr double kWorthwhileSpread = 0.7;
-// Weight of a new value in the moving moments.
+// The declared time is used if the deviation of log(actual / declared) is less
+// than this fraction of the deviation of log(run time).
+constexpr double kMaxRelativeDeviation = 0.7;
+// Weight of a new value in the moving mean and variance.
 constexpr double kMomentWeight = 0.05;
-// p99 over mean of tasks that are not known yet.
-constexpr double kUnknownTail = 4;
+// Ratio of p99 to mean that is assumed for a class with too few finished tasks.
+constexpr double kDefaultP99OverMean = 4;
 
 duration ClampDeclared(duration declared) {
   return std::clamp(declared, kShortestRunTime, kLongestDeclared);
@@ -53,7 +54,7 @@
 struct run_time_estimator::class_history {
   windowed_quantiles seconds{kWindow};
   moving_moments log_seconds;
-  // log(real / declared) of the tasks that declared a time.
+  // log(actual / declared) of the tasks whose callers declared a run time.
   moving_moments log_ratio;
 };
 
@@ -78,23 +79,23 @@
                                                duration declared) const {
   bool has_declared = declared > duration::zero();
   auto found = by_class_.find(work_class);
-  if (found == by_class_.end() ||
-      found->second.seconds.count() < kEnoughTasks) {
-    // Too long a time that was declared would get jobs refused that nobody
-    // has seen run; too short a one only lets them in.
+  if (found == by_class_.end() || found->second.seconds.count() < kMinTasks) {
+    // A declared time that is too long would cause jobs to be refused before
+    // any task of the class has run, so it can only lower the default. One that
+    // is too short only admits jobs.
     duration mean = has_declared
-                        ? std::min(ClampDeclared(declared), kUnknownRunTime)
-                        : kUnknownRunTime;
-    return {mean, FromSeconds(ToSeconds(mean) * kUnknownTail), false};
+                        ? std::min(ClampDeclared(declared), kDefaultRunTime)
+                        : kDefaultRunTime;
+    return {mean, FromSeconds(ToSeconds(mean) * kDefaultP99OverMean), false};
   }
   const class_history& history = found->second;
   run_time_estimate estimate{FromSeconds(history.seconds.mean()),
                              FromSeconds(history.seconds.p99()), true};
-  bool declared_helps = has_declared &&
-                        history.log_ratio.count() >= kEnoughTasks &&
-                        history.log_ratio.deviation() <
-                            kWorthwhileSpread * history.log_seconds.deviation();
-  if (!declared_helps)
+  bool use_declared =
+      has_declared && history.log_ratio.count() >= kMinTasks &&
+      history.log_ratio.deviation() <
+          kMaxRelativeDeviation * history.log_seconds.deviation();
+  if (!use_declared)
     return estimate;
   double corrected =
       ToSeconds(ClampDeclared(declared)) * std::exp(history.log_ratio.mean());
--- a/src/policy/run_time_estimator.h
+++ b/src/policy/run_time_estimator.h
@@ -1,4 +1,4 @@
-// Learns how long tasks of a class run.
+// Estimates how long tasks of a class run.
 
 #ifndef SRC_POLICY_RUN_TIME_ESTIMATOR_H_
 #define SRC_POLICY_RUN_TIME_ESTIMATOR_H_
@@ -13,14 +13,16 @@
 struct run_time_estimate {
   duration mean{};
   duration p99{};
-  // False while too few tasks of the class have been seen.
+  // False while too few tasks of the class have finished; the values are then
+  // defaults.
   bool learnt = false;
 };
 
-// Per class, from the run times that upstreams report. What callers declare is
-// a hint: the ratio of real to declared time is learnt too, and the declared
-// value is used only while it predicts better than the class's own spread.
-// Constant memory for each class.
+// Estimates run times per class from those that upstreams report. The run time
+// that a caller declares is a hint: the estimator also learns the ratio of
+// actual to declared time, and uses the declared time only while this ratio
+// varies clearly less than the run times of the class. Needs constant memory
+// for each class.
 class run_time_estimator {
  public:
   run_time_estimator();
--- a/src/policy/run_time_model.h
+++ b/src/policy/run_time_model.h
@@ -1,4 +1,4 @@
-// How long runs take: what callers guess against what is observed.
+// Predicts how long runs take from callers' guesses and observed run times.
 
 #ifndef SRC_POLICY_RUN_TIME_MODEL_H_
 #define SRC_POLICY_RUN_TIME_MODEL_H_
@@ -11,69 +11,74 @@
 
 namespace jasminedyke {
 
-// At usual speed.
+// How long a run is expected to take on an upstream of the usual speed.
 struct run_expectation {
   duration usual = duration::zero();
-  // A sound run very rarely takes longer. Zero if nothing is known.
+  // A run without a fault very rarely takes longer. Zero if nothing is known.
   duration longest = duration::zero();
 };
 
-// Counts of a positive factor in steps of a constant ratio, of which old ones
-// fade: constant memory, and tails as far as they are observed.
-class factor_counts {
+// A histogram of positive factors with logarithmic bins, in which the weight of
+// old values decays. Needs constant memory and represents tails as far as they
+// have been observed.
+class factor_histogram {
  public:
   void Add(double factor, time_point now);
   double total() const { return total_; }
-  // Below it lies `share` of all; the upper edge of a step.
+  // Returns the upper edge of the bin that holds the quantile `share`.
   double Quantile(double share) const;
-  // Share of all that reach `factor`.
+  // Returns the share of values in the bin of `factor` and above.
   double ShareAtLeast(double factor) const;
 
  private:
-  static constexpr size_t kSteps = 192;
+  static constexpr size_t kBins = 192;
 
-  std::array<double, kSteps> counts_{};
+  std::array<double, kBins> counts_{};
   double total_ = 0;
-  time_point faded_at_;
+  time_point decayed_at_;
 };
 
-// Answers load whose run times are uneven: guesses that are biased or far off,
-// a few tasks many times as long as the rest, guesses that change their meaning
-// while the system serves, queues whose callers don't guess at all.
+// Handles uneven run times: guesses that are biased or inaccurate, a few tasks
+// many times as long as the rest, guesses whose meaning changes while the
+// system runs, and queues whose callers give no guess.
 //
-// All times are at usual speed: who tells of a run divides out the speed of the
-// upstream that it ran on. A job's pace is the ratio of real to guessed time of
-// its tasks that are done; it tells more than the queue does, as the tasks of a
-// job resemble each other. Memory: a bounded number of queues.
+// All times are at usual speed: the caller corrects an observed time for the
+// speed of the upstream that the task ran on. A job's pace is the ratio of
+// actual to guessed time of its finished tasks. It predicts better than the
+// queue's history, as the tasks of a job resemble each other. Memory is
+// bounded, as only a limited number of queues is kept.
 class run_time_model {
  public:
-  // A run ended done. `guess` is zero if its caller has none.
+  // Records a run that finished. `guess` is zero if the caller gave none.
   void Learn(const queue_id& queue,
              duration guess,
              duration at_usual_speed,
              time_point now);
-  // A run of a job whose pace was known took `factor` times what it foretold.
+  // Records that a run of a job with a known pace took `factor` times the time
+  // predicted from the pace.
   void LearnSibling(const queue_id& queue, double factor, time_point now);
 
   // `job_pace` is 0 while no task of the job is done.
   run_expectation Expect(const queue_id& queue,
                          duration guess,
                          double job_pace) const;
-  // What a job's pace is a multiple of: the guess; without one the queue's own
-  // usual time, zero if that is not known.
+  // Returns the time that a job's pace is a multiple of: the guess or, without
+  // one, the queue's median run time, which is zero if not known.
   duration Reference(const queue_id& queue, duration guess) const;
-  // Share of the queue's sound runs that take at least `factor` times what is
-  // usual.
+  // Returns the share of the queue's finished runs that take at least `factor`
+  // times the usual time.
   double ShareAtLeast(const queue_id& queue,
                       double factor,
                       bool pace_known) const;
 
  private:
   struct queue_history {
-    // Real over guessed; of tasks without a guess, their milliseconds.
-    factor_counts by_guess;
-    factor_counts milliseconds;
-    factor_counts among_siblings;
+    // Ratio of actual to guessed time, of tasks with a guess.
+    factor_histogram by_guess;
+    // Run time of tasks without a guess.
+    factor_histogram milliseconds;
+    // Ratio of actual time to the time predicted from the job's pace.
+    factor_histogram by_job_pace;
     time_point learnt_at;
   };
 
--- a/tests/run_time_estimator/run_time_estimator_test.cc
+++ b/tests/run_time_estimator/run_time_estimator_test.cc
@@ -1,4 +1,4 @@
-// Learnt run times against declared ones.
+// Tests of run time estimates from observed and declared run times.
 
 #include <random>
 
@@ -28,7 +28,8 @@
       }
       estimator.Learn(kClass, declared, FromSeconds(seconds), kNow);
     }
-    // A constant factor is learnt, so the hint stays useful.
+    // The estimator learns a constant factor, so the declared time stays
+    // useful.
     CHECK(error < 0.1);
   }
 }
--- a/tests/run_time_model/run_time_model_test.cc
+++ b/tests/run_time_model/run_time_model_test.cc
@@ -1,4 +1,4 @@
-// How long runs are expected to take.
+// Tests of the expected run times of queues and jobs.
 
 #include <random>
 
@@ -40,7 +40,7 @@
   fixture f;
   CHECK(f.UsualMs(milliseconds(100)) == doctest::Approx(100));
   CHECK(f.LongestMs(milliseconds(100)) == doctest::Approx(350));
-  // Siblings tell more than a guess.
+  // With a known pace of the job, the expectation is narrower.
   CHECK(f.UsualMs(milliseconds(100), 1.2) == doctest::Approx(120));
   CHECK(f.LongestMs(milliseconds(100), 1.2) == doctest::Approx(300));
   CHECK(f.LongestMs(duration::zero()) == 0);
@@ -53,7 +53,7 @@
   CHECK(f.UsualMs(duration::zero()) == doctest::Approx(200).epsilon(0.1));
   CHECK(f.LongestMs(duration::zero()) > 240);
   CHECK(f.LongestMs(duration::zero()) < 500);
-  // A job's pace is a multiple of what is usual.
+  // A job's pace is a multiple of the usual run time.
   CHECK(f.UsualMs(duration::zero(), 2) == doctest::Approx(400).epsilon(0.1));
 }
 
@@ -67,14 +67,15 @@
 }
 
 TEST_CASE("run_time_model: guesses change their meaning within the day") {
-  // A new release of the callers guesses a third of what they guessed before.
+  // A new release of the callers guesses a third of the earlier values.
   fixture f;
   for (int i = 0; i < 2000; ++i)
     f.Learn(milliseconds(300), 300 * f.Uniform(0.8, 1.2));
   for (int i = 0; i < 600; ++i)
     f.Learn(milliseconds(100), 300 * f.Uniform(0.8, 1.2));
   CHECK(f.UsualMs(milliseconds(100)) == doctest::Approx(300).epsilon(0.15));
-  // What comes now is sound meanwhile: the tail holds both.
+  // Runs after the change stay below the longest expected time, as the tail
+  // includes runs from before and after it.
   CHECK(f.LongestMs(milliseconds(100)) > 360);
 }
 
@@ -87,7 +88,7 @@
     f.Learn(milliseconds(50), ms);
   }
   CHECK(beyond <= 5);
-  // Long tasks leave what is usual alone.
+  // Long tasks don't change the usual run time.
   CHECK(f.UsualMs(milliseconds(50)) == doctest::Approx(50).epsilon(0.12));
   CHECK(f.model.ShareAtLeast(kQueue, 4, false) ==
         doctest::Approx(0.03).epsilon(0.7));
@@ -106,7 +107,7 @@
     f.model.Learn(queue_id("q" + std::to_string(i)), milliseconds(50),
                   milliseconds(80), f.now);
   }
-  // The one that learnt longest ago made room.
+  // The queue whose last run is longest ago was dropped, so the defaults apply.
   CHECK(f.LongestMs(milliseconds(50)) == doctest::Approx(175));
 }
 
