--- a/src/policy/upstream_health.cc
+++ b/src/policy/upstream_health.cc
@@ -10,18 +10,18 @@
 
 constexpr int kFailuresToQuarantine = 3;
 constexpr duration kFirstBackOff = std::chrono::seconds(1);
-constexpr duration kLongestBackOff = std::chrono::seconds(30);
+constexpr duration kMaxBackOff = std::chrono::seconds(30);
 constexpr duration kTrialDelay = std::chrono::milliseconds(500);
-constexpr int kUnusedTrials = 6;
-constexpr duration kIdempotentWait = std::chrono::seconds(5);
+constexpr int kMaxUnusedTrials = 6;
+constexpr duration kMaxIdempotentWait = std::chrono::seconds(5);
 constexpr double kSlownessWeight = 0.1;
 constexpr duration kSlownessHalfLife = std::chrono::seconds(20);
-// One straggler must not make an upstream look ten times slower.
-constexpr double kLargestSlowness = 4;
+// Limits the effect of a single very slow task on the moving mean.
+constexpr double kMaxSlowness = 4;
 
-// Whether a result speaks for (1), against (-1) or not at all (0) about the
-// upstream's fitness.
-int Weight(slot_result result) {
+// Returns 1 if the result shows that the upstream works, -1 if it shows a
+// failure and 0 if it says nothing about the upstream.
+int EvidenceOf(slot_result result) {
   switch (result) {
     case slot_result::kAnswered:
       return 1;
@@ -42,32 +42,32 @@
 
 void upstream_health::Record(const released_slot& slot, time_point now) {
   health_record& record = records_[slot.upstream];
-  const health_verdict before = verdict(slot.upstream, now);
+  const health_verdict old_verdict = verdict(slot.upstream, now);
   record.trial_running = false;
-  // Nobody had a task to try it with; asking again at once would only cost
-  // messages.
-  if (before == health_verdict::kOnTrial &&
+  // No task was available for the trial. Waits before the next one, as
+  // offering the slot again at once would only cost messages.
+  if (old_verdict == health_verdict::kOnTrial &&
       slot.result == slot_result::kUnused) {
     record.quarantined_until = now + kTrialDelay;
     ++record.unused_trials;
   }
   if (slot.slowness > 0) {
-    double bounded = std::min(slot.slowness, kLargestSlowness);
-    double before_it = slowness(slot.upstream, now);
-    record.slowness = before_it + kSlownessWeight * (bounded - before_it);
+    double bounded = std::min(slot.slowness, kMaxSlowness);
+    double old_slowness = slowness(slot.upstream, now);
+    record.slowness = old_slowness + kSlownessWeight * (bounded - old_slowness);
     record.slowness_at = now;
   }
-  int weight = Weight(slot.result);
-  if (weight > 0) {
+  int evidence = EvidenceOf(slot.result);
+  if (evidence > 0) {
     record.consecutive_failures = 0;
     record.verdict = health_verdict::kFit;
     record.back_off = duration::zero();
-  } else if (weight < 0) {
+  } else if (evidence < 0) {
     ++record.consecutive_failures;
-    // Failures of tasks that were under way when it was quarantined must not
-    // make the back-off longer.
-    bool trial_failed = before == health_verdict::kOnTrial;
-    bool too_many = before == health_verdict::kFit &&
+    // Failures of tasks that were in flight at the time of the quarantine must
+    // not extend the back-off.
+    bool trial_failed = old_verdict == health_verdict::kOnTrial;
+    bool too_many = old_verdict == health_verdict::kFit &&
                     record.consecutive_failures >= kFailuresToQuarantine;
     if (trial_failed || too_many)
       Quarantine(record, now);
@@ -92,9 +92,9 @@
     case health_verdict::kFit:
       return true;
     case health_verdict::kOnTrial:
-      return !found->second.trial_running || ViewIsSuspect(now);
+      return !found->second.trial_running || MostAreUnfit(now);
     case health_verdict::kQuarantined:
-      return ViewIsSuspect(now);
+      return MostAreUnfit(now);
   }
   return true;
 }
@@ -104,8 +104,8 @@
   if (verdict(upstream, now) != health_verdict::kOnTrial)
     return false;
   const health_record& record = records_.at(upstream);
-  return record.unused_trials < kUnusedTrials &&
-         now < record.quarantined_until + kIdempotentWait;
+  return record.unused_trials < kMaxUnusedTrials &&
+         now < record.quarantined_until + kMaxIdempotentWait;
 }
 
 void upstream_health::RecordStart(const upstream_id& upstream, time_point now) {
@@ -128,9 +128,10 @@
   return found != records_.end() && found->second.consecutive_failures > 0;
 }
 
-// An upstream that fails at once frees its slots at once, too. Were they all
-// filled again while the first failures are being reported, twice its slots
-// would be lost before its quarantine.
+// An upstream that fails tasks immediately also frees its slots immediately.
+// Without the limit, all slots would be filled again while the first failures
+// are being reported, and twice as many tasks as slots would fail before
+// the quarantine.
 int upstream_health::MaxInFlight(const upstream_id& upstream) const {
   auto found = records_.find(upstream);
   if (found == records_.end() || found->second.consecutive_failures == 0)
@@ -171,11 +172,11 @@
   return found;
 }
 
-bool upstream_health::ViewIsSuspect(time_point now) const {
-  size_t bad = 0;
+bool upstream_health::MostAreUnfit(time_point now) const {
+  size_t unfit = 0;
   for (const auto& [id, record] : records_)
-    bad += verdict(id, now) != health_verdict::kFit;
-  return bad * 2 > upstreams_.size();
+    unfit += verdict(id, now) != health_verdict::kFit;
+  return unfit * 2 > upstreams_.size();
 }
 
 void upstream_health::Quarantine(health_record& record, time_point now) {
@@ -183,7 +184,7 @@
   record.unused_trials = 0;
   record.back_off = record.back_off == duration::zero()
                         ? kFirstBackOff
-                        : std::min(record.back_off * 2, kLongestBackOff);
+                        : std::min(record.back_off * 2, kMaxBackOff);
   record.quarantined_until = now + record.back_off;
 }
 
--- a/tests/upstream_health/upstream_health_test.cc
+++ b/tests/upstream_health/upstream_health_test.cc
@@ -1,4 +1,4 @@
-// Verdicts on upstreams.
+// Tests of quarantine, trials and slowness of upstreams.
 
 #include <string>
 #include <vector>
@@ -39,7 +39,7 @@
   CHECK(f.health.verdict(kBad, f.now) == health_verdict::kOnTrial);
   CHECK(f.health.TrialNeedsIdempotent(kBad, f.now));
   f.health.RecordStart(kBad, f.now);
-  // Only one task is risked at a time.
+  // A trial sends only one task at a time.
   CHECK_FALSE(f.health.MayReceive(kBad, f.now));
   f.Fail(1);
   f.now += std::chrono::milliseconds(1500);
@@ -70,8 +70,8 @@
   }
 }
 
-// Our own network fails: every upstream looks bad. Serving none of them would
-// turn a doubt into an outage.
+// When the instance's own network fails, every upstream appears to fail.
+// Stopping all work would then cause an outage, so the verdicts are ignored.
 TEST_CASE("upstream_health: when most look bad the view is suspected") {
   fixture f;
   for (int i = 0; i < 3; ++i)
@@ -81,7 +81,7 @@
   CHECK(f.health.MayReceive(kBad, f.now));
 }
 
-// A peer that calls every upstream bad costs nothing while they work.
+// A peer that reports every upstream as failed has no effect while they work.
 TEST_CASE("upstream_health: a peer's word alone quarantines nothing") {
   fixture f;
   for (int round = 0; round < 10; ++round) {
@@ -94,8 +94,8 @@
   CHECK_FALSE(f.health.MayReceive(kBad, f.now));
 }
 
-// Nobody has idempotent work. After a while any task is risked: an upstream
-// must not stay away for ever.
+// Without idempotent tasks an upstream could never leave its quarantine. After
+// a while a trial accepts any task.
 TEST_CASE("upstream_health: a trial falls back to any task") {
   fixture f;
   f.Fail(3);
