--- a/src/policy/upstream_speeds.cc
+++ b/src/policy/upstream_speeds.cc
@@ -8,35 +8,39 @@
 
 namespace {
 
-// Logarithms of speeds. Bounds what one run says: a task may take many times
-// what its siblings take.
-constexpr double kLargestDeviation = 0.7;
-// Averages over about twice the inverse of this many runs.
+// Limit, in the logarithm of the speed, on the deviation of a single run, as a
+// task may take many times as long as others of its job.
+constexpr double kMaxDeviation = 0.7;
+// Weight of a new run. The mean covers about 2 / kGain runs.
 constexpr double kGain = 0.05;
-constexpr double kMostRuns = 2 / kGain - 1;
-// After a change of speed, which shows in the recent deviations: Trigg and
-// Leach's tracking signal.
+constexpr double kMaxRuns = 2 / kGain - 1;
+// Weight of a new run in the moving mean of deviations, and in the speed while
+// that mean exceeds the threshold, which indicates a change of speed (Trigg and
+// Leach's tracking signal).
 constexpr double kDriftGain = 0.3;
-constexpr double kChanged = 0.4;
-// Callers' guesses are far off, siblings differ, and a few tasks take many
-// times as long: three standard deviations of one run.
-constexpr double kNoiseOfRun = 0.9;
-// Smaller ones matter less than the guesses' errors.
-constexpr double kLeastDifference = 0.18;
-// What news from another home is worth, so that an upstream's own runs soon
-// count more.
-constexpr double kRunsOfNews = 12;
-// An upstream that gets no work because it was slow is to be tried again.
+constexpr double kDriftThreshold = 0.4;
+// Three standard deviations of the logarithm of the speed seen in one run.
+// Callers' guesses are inaccurate, tasks of a job differ, and a few take many
+// times as long.
+constexpr double kRunNoise = 0.9;
+// Smaller differences matter less than the errors of the guesses.
+constexpr double kMinDifference = 0.18;
+// Number of runs that a speed from another home counts for; low, so that runs
+// observed here soon outweigh it.
+constexpr double kRunsOfAdoptedSpeed = 12;
+// The weight of an upstream without runs decays after the idle time, so that an
+// upstream that gets no tasks because it was slow is tried again.
 constexpr duration kIdleTime = std::chrono::seconds(5);
-constexpr duration kForgetTime = std::chrono::seconds(10);
+constexpr duration kDecayTime = std::chrono::seconds(10);
 constexpr duration kRefreshInterval = std::chrono::milliseconds(100);
-// Kinds beyond that share the usual speed; labels may differ for each upstream.
-constexpr size_t kMostKinds = 256;
+// Limit on the kinds with a speed of their own, as labels may differ for each
+// upstream. All other kinds have the usual speed.
+constexpr size_t kMaxKinds = 256;
 
-// Nothing if it may be chance.
-std::optional<double> Significant(double difference, double runs) {
-  double noise = kNoiseOfRun / std::sqrt(std::max(runs, 1e-6));
-  if (std::abs(difference) < std::max(kLeastDifference, noise))
+// Returns `difference` if it is statistically significant for so many runs.
+std::optional<double> IfSignificant(double difference, double runs) {
+  double noise = kRunNoise / std::sqrt(std::max(runs, 1e-6));
+  if (std::abs(difference) < std::max(kMinDifference, noise))
     return std::nullopt;
   return difference;
 }
@@ -65,12 +69,12 @@
   estimate& each = Find(id, kind, now);
   double deviation =
       std::clamp(std::log(ToSeconds(usual) / ToSeconds(took)) - each.mean,
-                 -kLargestDeviation, kLargestDeviation);
+                 -kMaxDeviation, kMaxDeviation);
   each.drift += kDriftGain * (deviation - each.drift);
-  bool changed = std::abs(each.drift) > kChanged;
+  bool changed = std::abs(each.drift) > kDriftThreshold;
   double gain = std::max(kGain, 1 / (each.runs + 1));
   each.mean += (changed ? std::max(gain, kDriftGain) : gain) * deviation;
-  each.runs = std::min(each.runs + 1, kMostRuns);
+  each.runs = std::min(each.runs + 1, kMaxRuns);
   each.last_run = now;
 }
 
@@ -81,24 +85,25 @@
   if (!(speed > 0))
     return;
   estimate& each = Find(id, kind, now);
-  if (each.runs > kRunsOfNews)
+  if (each.runs > kRunsOfAdoptedSpeed)
     return;
   each.mean = centre_ + std::log(speed);
   each.drift = 0;
-  each.runs = kRunsOfNews;
+  each.runs = kRunsOfAdoptedSpeed;
   each.last_run = now;
 }
 
 void upstream_speeds::Refresh(time_point now) {
-  duration passed = now - refreshed_;
+  duration passed = now - refreshed_at_;
   if (passed < kRefreshInterval)
     return;
-  refreshed_ = now;
+  refreshed_at_ = now;
   ++refreshes_;
-  // While nothing ran anywhere, as before this instance was home, nothing ages.
+  // Nothing decays if no upstream had runs, such as before this instance became
+  // home.
   bool all_idle = passed > kIdleTime;
   double kept =
-      all_idle ? 1 : std::exp(-ToSeconds(passed) / ToSeconds(kForgetTime));
+      all_idle ? 1 : std::exp(-ToSeconds(passed) / ToSeconds(kDecayTime));
   double sum = 0;
   double runs = 0;
   kinds_.clear();
@@ -107,7 +112,7 @@
       each.runs *= kept;
     sum += each.mean * each.runs;
     runs += each.runs;
-    if (kinds_.size() >= kMostKinds && !kinds_.contains(each.kind))
+    if (kinds_.size() >= kMaxKinds && !kinds_.contains(each.kind))
       continue;
     kind_estimate& kind = kinds_[each.kind];
     kind.mean += each.mean * each.runs;
@@ -125,7 +130,7 @@
   if (found == known_.end())
     return OfKind(kind);
   const estimate& each = found->second;
-  auto own = Significant(each.mean - centre_, each.runs);
+  auto own = IfSignificant(each.mean - centre_, each.runs);
   return own ? std::exp(*own) : OfKind(kind);
 }
 
@@ -134,7 +139,7 @@
   if (found == kinds_.end())
     return 1;
   const kind_estimate& each = found->second;
-  auto own = Significant(each.mean - centre_, std::min(each.runs, kMostRuns));
+  auto own = IfSignificant(each.mean - centre_, std::min(each.runs, kMaxRuns));
   return own ? std::exp(*own) : 1;
 }
 
--- a/src/policy/upstream_speeds.h
+++ b/src/policy/upstream_speeds.h
@@ -1,4 +1,4 @@
-// How fast each upstream runs tasks, learnt from its runs.
+// Estimates how fast each upstream runs tasks, from its observed runs.
 
 #ifndef SRC_POLICY_UPSTREAM_SPEEDS_H_
 #define SRC_POLICY_UPSTREAM_SPEEDS_H_
@@ -12,49 +12,54 @@
 
 namespace jasminedyke {
 
-// Answers the pattern of upstreams that differ for good or for a while: of
-// several generations, or slowed down by a neighbour. 1 is the usual speed, 2
-// runs a task in half the time.
+// Handles upstreams whose speeds differ permanently, such as several hardware
+// generations, or temporarily, such as when other load slows a machine down. 1
+// is the usual speed; an upstream of speed 2 runs a task in half the time.
 //
-// What a run should have taken is known roughly, so a speed counts only once
-// its runs tell it from chance; until then an upstream has the speed of its
-// kind (those with the same labels), and a kind that nobody knows the usual
-// one. Where all upstreams are alike, all speeds are exactly 1.
+// The expected time of a run is inaccurate, so an upstream's own estimate is
+// used only once its difference from the usual speed is statistically
+// significant. Until then the upstream has the speed of its kind, which is all
+// upstreams with the same labels. A kind without a significant difference has
+// the usual speed. Upstreams that are all alike thus have a speed of exactly 1.
 //
-// Speeds are relative to their geometric mean over all known upstreams: what
-// all runs have in common is an error of the expectations, not of upstreams.
+// Speeds are relative to their geometric mean over all known upstreams, as a
+// deviation that all runs share is an error of the expected times and not a
+// property of the upstreams.
 class upstream_speeds {
  public:
-  // A run that would have taken `usual` at the usual speed took `took`.
+  // Records a run that took `took` and was expected to take `usual` at the
+  // usual speed.
   void RecordRun(const upstream_id& id,
                  const std::string& kind,
                  duration usual,
                  duration took,
                  time_point now);
-  // The speed as another home learnt it; changes nothing if the upstream has
-  // had runs since.
+  // Adopts the speed that another home estimated, unless the estimate here
+  // already rests on more runs than such a speed counts for.
   void AdoptSpeed(const upstream_id& id,
                   const std::string& kind,
                   double speed,
                   time_point now);
-  // It is gone, or another incarnation has its id.
+  // Drops an upstream that is gone or whose id belongs to a new incarnation.
   void Forget(const upstream_id& id) { known_.erase(id); }
 
   double Of(const upstream_id& id, const std::string& kind) const;
   double OfKind(const std::string& kind) const;
-  // Rises whenever speeds of kinds may change.
+  // Increases whenever the speeds of kinds may have changed.
   uint64_t refreshes() const { return refreshes_; }
-  // Ids of upstreams with runs or news of their speed.
+  // Ids of the upstreams with recorded runs or an adopted speed.
   std::vector<upstream_id> known() const;
 
  private:
-  // Logarithms of speeds. `mean` may be off for all by a common amount.
+  // An estimate of the logarithm of an upstream's speed.
   struct estimate {
     std::string kind;
+    // Relative to an offset common to all upstreams, which is `centre_`.
     double mean = 0;
-    // Recent deviations from `mean`; far from 0 when the speed has changed.
+    // Moving mean of the deviations from `mean`; far from 0 after a change of
+    // speed.
     double drift = 0;
-    // What `mean` is worth, in runs; shrinks while there are none.
+    // Number of runs that `mean` counts for; decays while there are none.
     double runs = 0;
     time_point last_run;
   };
@@ -66,14 +71,15 @@
   estimate& Find(const upstream_id& id,
                  const std::string& kind,
                  time_point now);
-  // Means over all upstreams and kinds, and aging; at a bounded rate.
+  // Updates `centre_` and `kinds_` and decays the weight of idle upstreams, at
+  // most once per interval.
   void Refresh(time_point now);
 
   std::map<upstream_id, estimate> known_;
   std::map<std::string, kind_estimate> kinds_;
-  // Of `mean` over all known upstreams.
+  // Weighted average of `mean` over all known upstreams.
   double centre_ = 0;
-  time_point refreshed_;
+  time_point refreshed_at_;
   uint64_t refreshes_ = 0;
 };
 
--- a/tests/upstream_speeds/upstream_speeds_test.cc
+++ b/tests/upstream_speeds/upstream_speeds_test.cc
@@ -1,4 +1,4 @@
-// How soon and how surely speeds of upstreams are learnt.
+// Tests of how fast and how reliably the speeds of upstreams are estimated.
 
 #include <random>
 #include <string>
@@ -17,8 +17,8 @@
 
 const std::string kKind = "gen-1";
 
-// Upstreams whose runs differ as real ones do: guesses off by 40 %, siblings by
-// 15 %, and a few tasks take seven times as long.
+// Simulated runs with realistic variation: guesses are off by up to 40 %, tasks
+// of a job differ by up to 15 %, and a few take seven times as long.
 struct upstream_runs {
   upstream_id Id(int i) const { return upstream_id("u" + std::to_string(i)); }
 
@@ -32,7 +32,7 @@
     speeds.RecordRun(Id(i), kind, FromSeconds(kUsual * guess * ratio),
                      FromSeconds(kUsual * length / speed), now);
   }
-  // `runs` on each of them, in turn.
+  // Runs `runs` tasks on each upstream, in turn.
   void RunAll(const std::vector<double>& true_speeds, int runs) {
     for (int n = 0; n < runs; ++n) {
       for (size_t i = 0; i < true_speeds.size(); ++i)
@@ -43,12 +43,12 @@
 
   std::mt19937_64 random{7};
   time_point now{std::chrono::hours(1)};
-  // What all guesses have in common.
+  // Common factor of all guesses.
   double ratio = 1;
   upstream_speeds speeds;
 };
 
-std::vector<double> Three(int each) {
+std::vector<double> ThreeSpeeds(int each) {
   std::vector<double> all;
   for (double speed : {0.6, 1.0, 1.6})
     all.insert(all.end(), each, speed);
@@ -59,7 +59,7 @@
 
 TEST_CASE("speeds: three speeds are told apart after a second of work") {
   upstream_runs runs;
-  runs.RunAll(Three(4), 20);
+  runs.RunAll(ThreeSpeeds(4), 20);
   for (int i = 0; i < 4; ++i) {
     CHECK(runs.Of(i) == doctest::Approx(0.61).epsilon(0.25));
     CHECK(runs.Of(4 + i) == doctest::Approx(1).epsilon(0.2));
@@ -76,16 +76,16 @@
     for (int i = 0; i < 40; ++i)
       unlike += runs.Of(i) == 1 ? 0 : 1;
   }
-  // Of 8,000 looks: an error of three standard deviations at times.
+  // Of 8,000 checks a few may exceed three standard deviations by chance.
   CHECK(unlike < 80);
 }
 
 TEST_CASE("speeds: guesses that are all wrong alike change no speed") {
   upstream_runs runs;
-  runs.RunAll(Three(4), 40);
+  runs.RunAll(ThreeSpeeds(4), 40);
   double before = runs.Of(11);
   runs.ratio = 0.5;
-  runs.RunAll(Three(4), 40);
+  runs.RunAll(ThreeSpeeds(4), 40);
   CHECK(runs.Of(11) == doctest::Approx(before).epsilon(0.15));
   CHECK(runs.Of(5) == doctest::Approx(1).epsilon(0.2));
 }
