--- a/src/policy/configuration.h
+++ b/src/policy/configuration.h
@@ -1,5 +1,5 @@
-// What operators set: classes of work with their targets, teams and
-// administrators. Nothing here says where or with which weight work runs.
+// The settings that operators change: classes of work with their targets, teams
+// and administrators. They don't control where work runs or with which weight.
 
 #ifndef SRC_POLICY_CONFIGURATION_H_
 #define SRC_POLICY_CONFIGURATION_H_
@@ -15,10 +15,10 @@
 inline constexpr duration kDefaultTarget = std::chrono::seconds(1);
 
 struct class_settings {
-  // How soon after its arrival a job of this class should be answered.
+  // Target time from the arrival of a job of this class to its answer.
   duration target = kDefaultTarget;
-  // Whether a task of unknown outcome may be tried again. Only single
-  // requests make use of it.
+  // Whether a task with an unknown outcome may be retried. Applies only to
+  // single requests.
   bool idempotent = false;
 
   bool operator==(const class_settings&) const = default;
@@ -27,8 +27,8 @@
 struct team_settings {
   // Hex digests; the tokens themselves are never stored.
   std::vector<std::string> token_digests;
-  // Slots over all failure domains that are this team's before others may
-  // have them. 0: none of its own, it shares what is spare.
+  // Slots, over all failure domains, that this team gets before other teams. 0
+  // means that the team only shares spare slots.
   int quota_slots = 0;
 
   bool operator==(const team_settings&) const = default;
--- a/src/policy/upstream_table.cc
+++ b/src/policy/upstream_table.cc
@@ -7,11 +7,12 @@
 
 namespace {
 
-// How long an upstream's own word that it leaves is believed. The list says
-// the same long before this ends; if it does not, the upstream came back.
-constexpr duration kLeavingBelieved = std::chrono::seconds(15);
+// How long an upstream counts as leaving after it refused a task for that
+// reason. The membership list shows it long before this ends; if it does not,
+// the upstream has come back.
+constexpr duration kLeavingTimeout = std::chrono::seconds(15);
 constexpr duration kFirstHoldOff = std::chrono::milliseconds(10);
-constexpr duration kLongestHoldOff = std::chrono::milliseconds(160);
+constexpr duration kMaxHoldOff = std::chrono::milliseconds(160);
 
 }  // namespace
 
@@ -72,15 +73,15 @@
   if (found == states_.end())
     return;
   upstream_state& state = found->second;
-  // An upstream that left the list and came back starts again from zero while
-  // old attempts still end.
+  // The count restarts at zero when an upstream leaves the list and returns,
+  // while attempts from before may still end.
   state.in_flight = std::max(0, state.in_flight - 1);
   if (slot.result == slot_result::kLeaving) {
-    state.leaving_until = now + kLeavingBelieved;
+    state.leaving_until = now + kLeavingTimeout;
   } else if (slot.result == slot_result::kFull) {
     state.hold_off = state.hold_off == duration::zero()
                          ? kFirstHoldOff
-                         : std::min(state.hold_off * 2, kLongestHoldOff);
+                         : std::min(state.hold_off * 2, kMaxHoldOff);
     state.hold_off_until = now + state.hold_off;
   } else {
     state.hold_off = duration::zero();
--- a/src/policy/upstream_table.h
+++ b/src/policy/upstream_table.h
@@ -1,4 +1,4 @@
-// The upstreams as one entry instance sees them: listed, loaded, fit or not.
+// The state of all upstreams from the view of one entry instance.
 
 #ifndef SRC_POLICY_UPSTREAM_TABLE_H_
 #define SRC_POLICY_UPSTREAM_TABLE_H_
@@ -12,48 +12,54 @@
 
 namespace jasminedyke {
 
-// An upstream and what this instance has on it.
+// An upstream with the attempts, limits and refusals of this instance.
 struct upstream_state {
   upstream_id id;
   instance_info info;
   bool local = false;  // in this instance's failure domain
   // Attempts of this instance that have started and not ended.
   int in_flight = 0;
-  // This instance's part of the upstream's connections.
+  // This instance's share of the upstream's connections.
   int connection_share = 1;
-  // Set by its own refusals; the list may say the same later.
+  // Set when the upstream refuses a task because it is leaving, which the
+  // membership list may show only later.
   time_point leaving_until;
-  // After a refusal for want of a slot; doubles with each one in a row.
+  // Set when the upstream refuses a task because all its slots are taken. The
+  // delay doubles with each consecutive refusal.
   time_point hold_off_until;
   duration hold_off{};
 };
 
-// Joins membership, refusals, health and load into the one question: may a
-// task be sent there now?
+// Combines membership, refusals, health and load to decide whether a task may
+// be sent to an upstream now.
 class upstream_table {
  public:
   explicit upstream_table(failure_domain_id own_domain);
 
-  // Takes over a new list; load and health of those that stay are kept.
+  // Replaces the list of upstreams. Upstreams that remain keep their load and
+  // health.
   void SetMembership(const membership_view& view);
 
-  // Listed, not leaving, and this instance has slots and connections left.
+  // Whether the upstream is listed, is not leaving and has slots and
+  // connections left for this instance.
   bool HasRoom(const upstream_id& id, time_point now) const;
-  // `HasRoom`, and by this instance's own experience it is fit and not full.
+  // Whether `HasRoom` holds, the upstream's health allows a task and no
+  // hold-off after a refusal is in effect.
   bool MayStart(const upstream_id& id, time_point now) const;
 
-  // Bookkeeping of attempts.
+  // Must be called at the start and the end of each attempt.
   void RecordStart(const upstream_id& id, time_point now);
   void RecordEnd(const released_slot& slot, time_point now);
 
-  // Null if it is not listed any more.
+  // Returns null if the upstream is not listed.
   const upstream_state* Find(const upstream_id& id) const;
   const std::map<upstream_id, upstream_state>& all() const { return states_; }
-  // Those of the own failure domain, leaving ones included.
+  // Upstreams of this instance's failure domain, including leaving ones.
   const std::vector<upstream_id>& local() const { return local_; }
 
   int largest_memory_mb() const;
-  // Slots in the own failure domain that may receive work.
+  // Total slots of the upstreams in this instance's failure domain that may
+  // receive tasks.
   int usable_local_slots(time_point now) const;
 
   upstream_health& health() { return health_; }
