--- a/src/policy/upstream_health.h
+++ b/src/policy/upstream_health.h
@@ -51,7 +51,7 @@
   // fault is then more likely on this instance's side.
   bool MayReceive(const upstream_id& upstream, time_point now) const;
 
-  // Whether a task sent now is a trial and must be idempotent. After a while
+  // Whether a task sent now is a trial and should be idempotent. After a while
   // without an idempotent task any task may be used, as the upstream would
   // otherwise never be tried again.
   bool TrialNeedsIdempotent(const upstream_id& upstream, time_point now) const;
