--- a/src/runs/home_speeds.cc
+++ b/src/runs/home_speeds.cc
@@ -81,7 +81,7 @@
   if (other_incarnation)
     return;
   known_upstream& known = FindOrAdd(info);
-  learned_.Note(info.id, known.kind, usual, took, now);
+  learned_.RecordRun(info.id, known.kind, usual, took, now);
   Update(info.id, known);
   UpdateAll(now);
 }
@@ -161,7 +161,7 @@
     if (found == registered.end() || found->second.birth != each.birth)
       continue;
     known_upstream& known = FindOrAdd(found->second);
-    learned_.Take(each.id, known.kind, each.speed, now);
+    learned_.AdoptSpeed(each.id, known.kind, each.speed, now);
     Update(each.id, known);
     known.shared_speed = known.speed;
   }
--- a/tests/upstream_speeds/upstream_speeds_test.cc
+++ b/tests/upstream_speeds/upstream_speeds_test.cc
@@ -1,4 +1,4 @@
-// How soon and how surely speeds of upstreams are learnt.
+// Tests of how fast and how reliably the speeds of upstreams are estimated.
 
 #include <random>
 #include <string>
@@ -17,8 +17,8 @@
 
 const std::string kKind = "gen-1";
 
-// Upstreams whose runs differ as real ones do: guesses off by 40 %, siblings by
-// 15 %, and a few tasks take seven times as long.
+// Simulated runs with realistic variation: guesses are off by up to 40 %, tasks
+// of a job differ by up to 15 %, and a few take seven times as long.
 struct upstream_runs {
   upstream_id Id(int i) const { return upstream_id("u" + std::to_string(i)); }
 
@@ -29,10 +29,10 @@
     if (std::uniform_real_distribution<>(0, 1)(random) < 0.03)
       length *= 7;
     constexpr double kUsual = 0.17;
-    speeds.Note(Id(i), kind, FromSeconds(kUsual * guess * ratio),
-                FromSeconds(kUsual * length / speed), now);
+    speeds.RecordRun(Id(i), kind, FromSeconds(kUsual * guess * ratio),
+                     FromSeconds(kUsual * length / speed), now);
   }
-  // `runs` on each of them, in turn.
+  // Runs `runs` tasks on each upstream, in turn.
   void RunAll(const std::vector<double>& true_speeds, int runs) {
     for (int n = 0; n < runs; ++n) {
       for (size_t i = 0; i < true_speeds.size(); ++i)
@@ -43,12 +43,12 @@
 
   std::mt19937_64 random{7};
   time_point now{std::chrono::hours(1)};
-  // What all guesses have in common.
+  // Common factor of all guesses.
   double ratio = 1;
   upstream_speeds speeds;
 };
 
-std::vector<double> Three(int each) {
+std::vector<double> ThreeSpeeds(int each) {
   std::vector<double> all;
   for (double speed : {0.6, 1.0, 1.6})
     all.insert(all.end(), each, speed);
@@ -59,7 +59,7 @@
 
 TEST_CASE("speeds: three speeds are told apart after a second of work") {
   upstream_runs runs;
-  runs.RunAll(Three(4), 20);
+  runs.RunAll(ThreeSpeeds(4), 20);
   for (int i = 0; i < 4; ++i) {
     CHECK(runs.Of(i) == doctest::Approx(0.61).epsilon(0.25));
     CHECK(runs.Of(4 + i) == doctest::Approx(1).epsilon(0.2));
@@ -76,16 +76,16 @@
     for (int i = 0; i < 40; ++i)
       unlike += runs.Of(i) == 1 ? 0 : 1;
   }
-  // Of 8,000 looks: an error of three standard deviations at times.
+  // Of 8,000 checks a few may exceed three standard deviations by chance.
   CHECK(unlike < 80);
 }
 
 TEST_CASE("speeds: guesses that are all wrong alike change no speed") {
   upstream_runs runs;
-  runs.RunAll(Three(4), 40);
+  runs.RunAll(ThreeSpeeds(4), 40);
   double before = runs.Of(11);
   runs.ratio = 0.5;
-  runs.RunAll(Three(4), 40);
+  runs.RunAll(ThreeSpeeds(4), 40);
   CHECK(runs.Of(11) == doctest::Approx(before).epsilon(0.15));
   CHECK(runs.Of(5) == doctest::Approx(1).epsilon(0.2));
 }
@@ -111,8 +111,8 @@
 TEST_CASE("speeds: one task of seven times the length changes nothing") {
   upstream_runs runs;
   runs.RunAll(std::vector<double>(10, 1.0), 60);
-  runs.speeds.Note(runs.Id(3), kKind, milliseconds(100), milliseconds(700),
-                   runs.now);
+  runs.speeds.RecordRun(runs.Id(3), kKind, milliseconds(100), milliseconds(700),
+                        runs.now);
   CHECK(runs.Of(3) == 1);
 }
 
@@ -129,15 +129,15 @@
   CHECK(fast > 1.2);
   CHECK(runs.speeds.Of(fresh, kKind) < 0.8);
   CHECK(runs.speeds.Of(fresh, "never seen") == 1);
-  runs.speeds.Note(fresh, "gen-2", milliseconds(100), milliseconds(75),
-                   runs.now);
+  runs.speeds.RecordRun(fresh, "gen-2", milliseconds(100), milliseconds(75),
+                        runs.now);
   CHECK(runs.speeds.Of(fresh, "gen-2") == doctest::Approx(fast));
 }
 
 TEST_CASE("speeds: what another home learnt counts until there are own runs") {
   upstream_runs runs;
-  runs.speeds.Take(runs.Id(0), kKind, 0.6, runs.now);
-  runs.speeds.Take(runs.Id(1), kKind, 1.6, runs.now);
+  runs.speeds.AdoptSpeed(runs.Id(0), kKind, 0.6, runs.now);
+  runs.speeds.AdoptSpeed(runs.Id(1), kKind, 1.6, runs.now);
   CHECK(runs.Of(0) == doctest::Approx(0.6));
   CHECK(runs.Of(1) == doctest::Approx(1.6));
   SUBCASE("own runs go before news") {
@@ -145,7 +145,7 @@
       runs.Run(0, 1);
       runs.Run(1, 1);
     }
-    runs.speeds.Take(runs.Id(0), kKind, 0.3, runs.now);
+    runs.speeds.AdoptSpeed(runs.Id(0), kKind, 0.3, runs.now);
     CHECK(runs.Of(0) == doctest::Approx(1).epsilon(0.2));
   }
   SUBCASE("an upstream that is forgotten has its kind's speed") {
@@ -157,8 +157,8 @@
 
 TEST_CASE("speeds: without a guess nothing is learnt") {
   upstream_runs runs;
-  runs.speeds.Note(runs.Id(0), kKind, duration::zero(), milliseconds(50),
-                   runs.now);
+  runs.speeds.RecordRun(runs.Id(0), kKind, duration::zero(), milliseconds(50),
+                        runs.now);
   CHECK(runs.speeds.known().empty());
 }
 
