--- a/src/cluster/home_election.cc
+++ b/src/cluster/home_election.cc
@@ -13,37 +13,39 @@
 
 constexpr char kTable[] = "homes";
 constexpr duration kTick = std::chrono::milliseconds(50);
-// Renewed so often that a successor that only sees the row, because the home
-// went silent, waits little longer than the upstreams' leases last anyway.
+// Short enough that a successor that detects a silent home only by its row
+// waits hardly longer than the upstreams' leases last.
 constexpr duration kRenewInterval = std::chrono::milliseconds(500);
-// Three renewals missed: one may be lost, one may be slow.
+// Three missed renewals, as one may be lost and another one slow.
 constexpr duration kRowExpiry = std::chrono::milliseconds(1500);
-// The next candidates wait for the better ones, a store write each.
+// Time of one store write: each candidate waits for the better ones to take the
+// row first.
 constexpr duration kWaitPerRank = std::chrono::milliseconds(200);
-// New instances first learn who is home already and which of them is the
-// strongest; links between instances are up 20 to 40 ms after their start.
+// Time in which a new instance learns whether there is a home and which
+// instance is the strongest. Links come up 20 to 40 ms after the start.
 constexpr duration kSettleTime = std::chrono::milliseconds(100);
-// Without the store: after a home whose process is known to be gone, and after
-// one that is only silent.
-constexpr duration kStorelessAfterGone = std::chrono::milliseconds(700);
-// The silence itself has lasted a second by then. A home that lives and was
-// only out of reach takes its upstreams back when it finds itself fenced.
-constexpr duration kStorelessAfterSilence = std::chrono::milliseconds(1500);
-// Tokens of a row's version are so far apart, with room between them for those
-// of homes that began without the store.
-// As many as addresses differ in, within one private network; row versions up
-// to 500 million keep tokens within the 53 bits that all JSON readers keep.
+// Wait without the store after the process of a home is known to have ended.
+constexpr duration kStorelessWaitAfterEnd = std::chrono::milliseconds(700);
+// Wait without the store after a home became silent, which is detected after a
+// second. A home that was alive but unreachable takes its upstreams back when
+// it is fenced.
+constexpr duration kStorelessWaitAfterSilence = std::chrono::milliseconds(1500);
+// Distance between the tokens of two successive row versions. The tokens in
+// between are for homes that begin without the store: one for each address of a
+// private network. Row versions up to 500 million keep tokens within the 53
+// bits of an integer that all JSON parsers preserve.
 constexpr uint64_t kTokenSpacing = 1 << 24;
-// A home of a quarter of a core handles about a thousand starts a second; one
-// with less fell behind at two thirds of that. Handing over costs some tens of
-// milliseconds, so the gain must be worth it and likely to last.
+// A home with a quarter of a core handles about 1000 starts per second; one
+// with less fell behind at two thirds of that. A handover takes some tens of
+// milliseconds, so the successor must be clearly stronger and stay connected.
 constexpr double kMuchStronger = 1.5;
-constexpr duration kStrongerFor = std::chrono::seconds(2);
-// A home whose status is older does not count as one.
+constexpr duration kStrongerPeerMinUptime = std::chrono::seconds(2);
+// Age at which the last status of a home no longer shows that it is alive.
 constexpr duration kStatusExpiry = std::chrono::milliseconds(1500);
 
-// Different for all instances of a deployment: they have addresses of one
-// private network, or ports of one machine.
+// Returns a number that is unique among the instances of a deployment, which
+// have different addresses of one private network or different ports of one
+// machine.
 uint64_t AddressNumber(const socket_address& address) {
   in_addr ip{};
   inet_pton(AF_INET, address.ip.c_str(), &ip);
@@ -59,13 +61,13 @@
                              const home_directory& homes,
                              const home_group& group,
                              const entry_member& self,
-                             events told)
+                             event_handlers handlers)
     : clock_(clock),
       store_(store),
       homes_(homes),
       group_(group),
       self_(self),
-      events_(std::move(told)),
+      handlers_(std::move(handlers)),
       tick_timer_(clock) {
   tick_timer_.StartAfter(kTick, [this] { Tick(); });
 }
@@ -99,27 +101,28 @@
 
 void home_election::OnHomesChanged() {
   const known_home* home = homes_.Find(group_);
-  bool other = home && home->instance != self_.instance;
-  if (holding_ && other && home->status.token > token_)
+  bool is_other = home && home->instance != self_.instance;
+  if (holding_ && is_other && home->status.token > token_)
     End("newer_home");
 }
 
 void home_election::OnFenced() {
   if (!holding_)
     return;
-  // Orders to an upstream that the newer home has not reached would not be
-  // refused: nothing may wait for the store here. If that home is gone again,
-  // the row tells, and all upstreams are looked at anew.
+  // An upstream that the newer home has not reached yet would still accept this
+  // home's requests, so the role ends without waiting for the store. If the
+  // newer home has ended, the row shows it, and this instance takes over again
+  // and queries all upstreams.
   End("fenced");
   Watch();
 }
 
 void home_election::Leave() {
   leaving_ = true;
-  // Until the release is written, also over a renewal that is on its way.
+  // Makes the release due at once, also after a renewal that is in flight.
   last_renewal_ = time_point();
   if (holding_)
-    Hold();
+    MaintainRow();
 }
 
 std::optional<home_election::home_row> home_election::ParseRow(
@@ -142,18 +145,18 @@
 void home_election::Tick() {
   tick_timer_.StartAfter(kTick, [this] { Tick(); });
   if (holding_)
-    Hold();
+    MaintainRow();
   else
     Watch();
 }
 
-void home_election::Hold() {
+void home_election::MaintainRow() {
   if (call_in_flight_ || released_ ||
       clock_.now() - last_renewal_ < kRenewInterval)
     return;
   last_renewal_ = clock_.now();
-  yielding_ = SeesStronger();
-  if (row_unsure_)
+  yielding_ = HasStrongerPeer();
+  if (row_version_unknown_)
     CheckRow();
   else
     Renew();
@@ -165,14 +168,14 @@
          self_.weight >= member->second.weight * kMuchStronger;
 }
 
-bool home_election::SeesStronger() const {
+bool home_election::HasStrongerPeer() const {
   return std::ranges::any_of(members_, [&](const auto& entry) {
     const auto& [id, member] = entry;
     auto up = peers_up_.find(id);
     return member.domain == group_.domain && up != peers_up_.end() &&
            !leaving_peers_.contains(id) &&
            member.weight >= self_.weight * kMuchStronger &&
-           clock_.now() - up->second >= kStrongerFor;
+           clock_.now() - up->second >= kStrongerPeerMinUptime;
   });
 }
 
@@ -197,14 +200,15 @@
       last_renewal_ = time_point();
     return;
   }
-  // A lost answer may have changed the row: its version must be read.
+  // The write may have succeeded although its reply was lost, so the version
+  // must be read.
   if (result.error() != store_error::kUnavailable)
-    row_unsure_ = true;
+    row_version_unknown_ = true;
   if (result.error() == store_error::kConflict)
     CheckRow();
 }
 
-// While holding, when it is not certain that the row is still ours.
+// Reads the row while this instance is home but may have lost the row.
 void home_election::CheckRow() {
   call_in_flight_ = true;
   store_.Read(kTable, group_.ToString(), [this](const auto& result) {
@@ -216,13 +220,14 @@
       return;
     uint64_t version = missing ? 0 : result.value().version;
     auto row = missing ? std::nullopt : ParseRow(result.value().value);
-    // A home that began without the store finds the row of the one that it
-    // replaced, and takes it. Another holder that renews it still has won.
+    // A home that began without the store finds the row of the home that it
+    // replaced, and takes it over. If another holder still renews the row, that
+    // holder keeps the role.
     bool ours = row && row->holder == self_.instance &&
                 row->incarnation == self_.incarnation;
-    bool replaced = missing || (row && MayTake(*row, version));
+    bool replaced = missing || (row && MayTakeOver(*row, version));
     if (ours && leaving_) {
-      row_unsure_ = false;
+      row_version_unknown_ = false;
       row_version_ = version;
     } else if (ours || replaced) {
       TakeOver(version, !ours);
@@ -248,7 +253,7 @@
   return rank;
 }
 
-bool home_election::SeesHalf() const {
+bool home_election::IsConnectedToHalf() const {
   return (peers_up_.size() + 1) * 2 >= members_.size();
 }
 
@@ -259,7 +264,7 @@
                !(home->status.yielding && IsMuchStrongerThan(home->instance));
   if (alive || leaving_) {
     without_home_since_.reset();
-    store_away_since_.reset();
+    store_unavailable_since_.reset();
     return;
   }
   if (!without_home_since_)
@@ -270,127 +275,136 @@
   if (call_in_flight_ || clock_.now() - *without_home_since_ < wait)
     return;
   call_in_flight_ = true;
-  store_.Read(
-      kTable, group_.ToString(),
-      [this, asked = clock_.now()](const auto& row) { OnRowRead(asked, row); });
+  store_.Read(kTable, group_.ToString(),
+              [this, requested_at = clock_.now()](const auto& row) {
+                OnRowRead(requested_at, row);
+              });
 }
 
-void home_election::OnRowRead(time_point asked,
+void home_election::OnRowRead(time_point requested_at,
                               const outcome<table_row, store_error>& result) {
   call_in_flight_ = false;
   if (holding_ || leaving_)
     return;
   if (!result.ok() && result.error() != store_error::kNotFound) {
-    // A store that is silent has been away since it was asked.
-    if (!store_away_since_)
-      store_away_since_ = asked;
+    // A store that did not reply has been unavailable since the request was
+    // sent.
+    if (!store_unavailable_since_)
+      store_unavailable_since_ = requested_at;
     TakeOverWithoutStore();
     return;
   }
-  store_away_since_.reset();
+  store_unavailable_since_.reset();
   if (!result.ok()) {
     TakeOver(0, true);
     return;
   }
   auto row = ParseRow(result.value().value);
-  if (!row || MayTake(*row, result.value().version))
+  if (!row || MayTakeOver(*row, result.value().version))
     TakeOver(result.value().version, true);
 }
 
-bool home_election::MayTake(const home_row& row, uint64_t version) {
+bool home_election::MayTakeOver(const home_row& row, uint64_t version) {
   bool gone = row.holder == self_.instance || row.released || HasEnded(row);
   if (gone)
     return true;
-  if (version != seen_version_) {
-    seen_version_ = version;
-    seen_since_ = clock_.now();
+  if (version != watched_version_) {
+    watched_version_ = version;
+    watched_since_ = clock_.now();
     return false;
   }
-  return clock_.now() - seen_since_ >= kRowExpiry;
+  return clock_.now() - watched_since_ >= kRowExpiry;
 }
 
-// That nothing listened, or that it was leaving, says nothing of a process that
-// started later, which the row shows by naming an incarnation that is new to
-// us.
+// A refused connection or an announced stop applies to the last known process
+// of the holder only. A row with an unknown incarnation was written by another
+// process, about which neither says anything.
 bool home_election::HasEnded(const home_row& row) const {
   auto known = incarnations_.find(row.holder);
   bool is_known =
       known == incarnations_.end() || known->second == row.incarnation;
   if (!is_known)
     return peers_up_.contains(row.holder);
-  // One that is leaving goes on until it hears of its successor.
+  // A home that is leaving keeps serving until its successor's status arrives.
   return refused_.contains(row.holder) || leaving_peers_.contains(row.holder);
 }
 
-void home_election::TakeOver(uint64_t expected_version, bool anew) {
+void home_election::TakeOver(uint64_t expected_version,
+                             bool other_may_have_served) {
   call_in_flight_ = true;
   store_.Write({{kTable, group_.ToString(), expected_version, OwnRow(false)}},
-               [this, anew](const auto& result) {
+               [this, other_may_have_served](const auto& result) {
                  call_in_flight_ = false;
                  if (!result.ok() || leaving_)
                    return;
-                 row_unsure_ = false;
+                 row_version_unknown_ = false;
                  row_version_ = result.value().front();
                  last_renewal_ = clock_.now();
                  Begin(fencing_token(row_version_ * kTokenSpacing), "store",
-                       anew);
+                       other_may_have_served);
                });
 }
 
-// Cut off from the store, a group must go on being served. An instance that
-// sees few of the others is more likely cut off itself; taking the upstreams
-// away from a living home would stop the whole group.
+// Begins without the store, as a group must be served also while the store is
+// unreachable. An instance that is connected to less than half of the others is
+// probably cut off itself, and must not take the upstreams from a home that is
+// alive, which would stop the whole group.
 void home_election::TakeOverWithoutStore() {
   fencing_token highest = homes_.HighestToken(group_);
-  bool known_gone = std::ranges::any_of(refused_, [&](const auto& id) {
+  bool known_ended = std::ranges::any_of(refused_, [&](const auto& id) {
     auto member = members_.find(id);
     return member != members_.end() && member->second.domain == group_.domain;
   });
-  duration wait = known_gone ? kStorelessAfterGone : kStorelessAfterSilence;
-  bool may = SeesHalf() && highest.value() > 0 && OwnRank() == 0 &&
-             clock_.now() - *store_away_since_ >= wait;
+  duration wait =
+      known_ended ? kStorelessWaitAfterEnd : kStorelessWaitAfterSilence;
+  bool may = IsConnectedToHalf() && highest.value() > 0 && OwnRank() == 0 &&
+             clock_.now() - *store_unavailable_since_ >= wait;
   if (!may)
     return;
-  row_unsure_ = true;
+  row_version_unknown_ = true;
   row_version_ = 0;
   Begin(TokenWithoutStore(highest), "without_store", true);
 }
 
-// Two candidates that are cut off from each other may both begin. With one
-// token, upstreams would serve both, and a task could run twice at one time; so
-// each has a token of its own, by its address. Its place in the list of members
-// does not do: one that restarted behind a cut has no list.
+// Two candidates that are disconnected from each other may both begin. If they
+// had the same token, upstreams would serve both, and a task could run twice at
+// the same time; so the token depends on the address. The position in the list
+// of members would not do, as an instance that restarts while it is cut off has
+// no such list.
 fencing_token home_election::TokenWithoutStore(fencing_token highest) const {
   uint64_t next_row = highest.value() / kTokenSpacing + 1;
   return fencing_token(next_row * kTokenSpacing + 1 +
                        AddressNumber(self_.peers) % (kTokenSpacing - 1));
 }
 
-// A home that goes on under a new token knows what runs on its upstreams only
-// if no other one has served in between. If one may have, its tasks would be
-// started a second time; so it ends first and looks at all of them anew.
-void home_election::Begin(fencing_token token, const char* how, bool anew) {
-  bool renewed = holding_ && !anew;
-  if (holding_ && anew)
+// A home that continues with a new token knows what runs on its upstreams only
+// if no other home has served in between. If one may have, this home would
+// start that home's tasks a second time; so it ends first, and then queries all
+// upstreams again.
+void home_election::Begin(fencing_token token,
+                          const char* how,
+                          bool other_may_have_served) {
+  bool renewed = holding_ && !other_may_have_served;
+  if (holding_ && other_may_have_served)
     End("another_between");
   holding_ = true;
   yielding_ = false;
   token_ = token;
   without_home_since_.reset();
-  store_away_since_.reset();
+  store_unavailable_since_.reset();
   LogEvent(
       log_level::kInfo, renewed ? "home_token" : "home_begins",
       {{"group", group_.ToString()}, {"token", token.value()}, {"how", how}});
-  events_.on_begin(token);
+  handlers_.on_begin(token);
 }
 
 void home_election::End(const char* why) {
   holding_ = false;
-  row_unsure_ = false;
+  row_version_unknown_ = false;
   LogEvent(
       log_level::kWarning, "home_ends",
       {{"group", group_.ToString()}, {"token", token_.value()}, {"why", why}});
-  events_.on_end();
+  handlers_.on_end();
 }
 
 }  // namespace jasminedyke
--- a/src/cluster/home_election.h
+++ b/src/cluster/home_election.h
@@ -1,4 +1,4 @@
-// Which entry instance is home to a group of upstreams.
+// Election of the entry instance that is home to a group of upstreams.
 
 #ifndef SRC_CLUSTER_HOME_ELECTION_H_
 #define SRC_CLUSTER_HOME_ELECTION_H_
@@ -22,25 +22,28 @@
   incarnation_id incarnation;
   failure_domain_id domain;
   socket_address peers;
-  // Processor share; homes go to strong instances first.
+  // Share of a processor; instances with a higher weight are preferred as
+  // homes.
   double weight = 1;
 
   bool operator==(const entry_member&) const = default;
 };
 
-// One row of the store names the home and is renewed by it. Whoever takes it
-// over does so by compare-and-set, and the row's new version is the fencing
-// token: versions rise through one counter, so the latest home has the highest
-// token, and upstreams do nothing for an earlier one that still lives.
+// One row of the store names the home, which renews it. A successor takes the
+// row over by compare-and-set, and the fencing token is derived from the row's
+// new version. Versions come from one increasing counter, so the latest home
+// has the highest token, and upstreams reject requests of an earlier home that
+// is still running.
 //
-// A home stays while it lives, but yields to a much stronger instance, as all
-// orders to the group's upstreams pass through it. It is replaced at once if it
-// released the row or its process is known to be gone, and otherwise when the
-// row was not renewed. While the store is away, the first candidate that still
-// sees half of the instances takes over with the next token.
+// A home keeps its role while it is alive, but yields to an instance with a
+// much higher weight, as all requests to the group's upstreams pass through
+// it. It is replaced at once if it released the row or its process is known to
+// have ended, and otherwise when the row has not been renewed in time. While
+// the store is unavailable, the first candidate that is connected to at least
+// half of the instances takes over with the next token.
 class home_election {
  public:
-  struct events {
+  struct event_handlers {
     std::function<void(fencing_token)> on_begin;
     std::function<void()> on_end;
   };
@@ -50,23 +53,23 @@
                 const home_directory& homes,
                 const home_group& group,
                 const entry_member& self,
-                events told);
+                event_handlers handlers);
 
-  // All registered entry instances.
+  // Sets all registered entry instances.
   void SetMembers(const std::map<instance_id, entry_member>& members);
   void OnPeerUp(const peer_identity& peer);
   void OnPeerDown(const instance_id& peer);
-  // Its process is not running.
+  // The peer refused the connection: its process is not running.
   void OnPeerRefused(const instance_id& peer);
   void OnPeerLeaving(const instance_id& peer);
   void OnHomesChanged();
-  // An upstream has seen a higher token than ours.
+  // An upstream rejected this home's token because it has a higher one.
   void OnFenced();
-  // This instance is stopping: gives the row back and takes no other.
+  // Releases the row and never takes it again, as this instance is stopping.
   void Leave();
 
   bool holding() const { return holding_; }
-  // Waits for a stronger instance to take over.
+  // Whether this home is waiting for a stronger instance to take over.
   bool yielding() const { return holding_ && yielding_; }
 
  private:
@@ -81,25 +84,28 @@
 
   void Tick();
   void Watch();
-  void Hold();
-  // The position of this instance among the candidates, best first.
+  void MaintainRow();
+  // The position of this instance among the candidates; 0 is the best one.
   int OwnRank() const;
-  bool SeesHalf() const;
-  bool SeesStronger() const;
+  bool IsConnectedToHalf() const;
+  bool HasStrongerPeer() const;
   bool IsMuchStrongerThan(const instance_id& other) const;
-  bool MayTake(const home_row& row, uint64_t version);
-  // The process that wrote the row has ended or is leaving: nothing listens at
-  // its address, or it said so, or another process runs in its place.
+  bool MayTakeOver(const home_row& row, uint64_t version);
+  // Whether the process that wrote the row has ended or is leaving: its address
+  // refused a connection, it announced that it is leaving, or another process
+  // has replaced it.
   bool HasEnded(const home_row& row) const;
-  void OnRowRead(time_point asked, const outcome<table_row, store_error>& row);
-  // `anew`: another home may have served the group since we began.
-  void TakeOver(uint64_t expected_version, bool anew);
+  void OnRowRead(time_point requested_at,
+                 const outcome<table_row, store_error>& row);
+  // `other_may_have_served` is true if another home may have served the group
+  // since this one began.
+  void TakeOver(uint64_t expected_version, bool other_may_have_served);
   void TakeOverWithoutStore();
   fencing_token TokenWithoutStore(fencing_token highest) const;
   void Renew();
   void OnRenewed(const outcome<std::vector<uint64_t>, store_error>& result);
   void CheckRow();
-  void Begin(fencing_token token, const char* how, bool anew);
+  void Begin(fencing_token token, const char* how, bool other_may_have_served);
   void End(const char* why);
 
   scheduler& clock_;
@@ -107,30 +113,32 @@
   const home_directory& homes_;
   home_group group_;
   entry_member self_;
-  events events_;
+  event_handlers handlers_;
   std::map<instance_id, entry_member> members_;
-  // With when the link came up.
+  // The connected peers, with the time when the link came up.
   std::map<instance_id, time_point> peers_up_;
-  // Of each peer that ever had a link, the newest known.
+  // The latest known incarnation of each peer that was ever connected.
   std::map<instance_id, incarnation_id> incarnations_;
   std::set<instance_id> refused_;
   std::set<instance_id> leaving_peers_;
   bool holding_ = false;
   bool leaving_ = false;
-  // The row says that it may be taken.
+  // This instance has marked the row as released.
   bool released_ = false;
   bool yielding_ = false;
-  // The row's newest version is unknown; it must be read before a write.
-  bool row_unsure_ = false;
+  // The row's latest version is unknown, so the row must be read before it is
+  // written.
+  bool row_version_unknown_ = false;
   bool call_in_flight_ = false;
   fencing_token token_;
-  // While holding: of the row as last written.
+  // While holding: the version of the row as last written.
   uint64_t row_version_ = 0;
-  // While watching: the row as last read, and since when it is unchanged.
-  uint64_t seen_version_ = 0;
-  time_point seen_since_;
+  // While watching: the version of the row as last read, and since when it has
+  // been unchanged.
+  uint64_t watched_version_ = 0;
+  time_point watched_since_;
   std::optional<time_point> without_home_since_;
-  std::optional<time_point> store_away_since_;
+  std::optional<time_point> store_unavailable_since_;
   time_point last_renewal_;
   scoped_timer tick_timer_;
 };
--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -96,7 +96,7 @@
       });
   election_ = std::make_unique<home_election>(
       clock, store, homes_, group, self,
-      home_election::events{
+      home_election::event_handlers{
           [this](fencing_token token) { OnHomeBegins(token); },
           [this] { OnHomeEnds(); }});
   members_ = std::make_unique<member_registry>(clock, store, self);
