--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,4 +1,4 @@
-// Public header of the cluster library: entry instances as one system.
+// Public header of the cluster library, which coordinates entry instances.
 
 #ifndef SRC_CLUSTER_CLUSTER_H_
 #define SRC_CLUSTER_CLUSTER_H_
--- a/src/cluster/home_selector.cc
+++ b/src/cluster/home_selector.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A link that breaks is often back at once; a change of home costs more than
-// waiting so long.
+// Time for which a peer whose link broke remains a candidate. A broken link is
+// often restored at once, and a change of home costs more than this wait.
 constexpr duration kLinkGrace = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -34,7 +34,7 @@
   grace_until_.erase(peer);
   std::erase(peers_leaving_, peer);
   Choose();
-  // What was under way on the old link is lost: both sides start afresh.
+  // Messages in flight on the old link are lost, so both sides start over.
   if (peer == home_)
     holder_side_.SetHome(home_);
 }
@@ -80,9 +80,10 @@
   return grace != grace_until_.end() && clock_.now() < grace->second;
 }
 
-// All that are listed share, also those that we can't reach: they may be
-// starting tasks as well.
-void home_selector::ShareWithoutHome() {
+// Sets this instance's share of the slots while there is no home. All listed
+// instances have one, including those that are unreachable, as these may be
+// starting tasks too.
+void home_selector::SetShareWithoutHome() {
   std::vector<instance_info> entries = view_.entries(self_.failure_domain);
   auto own = std::ranges::find(entries, self_.instance, &instance_info::id);
   bool listed = own != entries.end();
@@ -92,7 +93,7 @@
 
 void home_selector::Choose() {
   std::vector<instance_id> candidates = Candidates();
-  // A stopping instance still holds slots, and so does a peer that stops.
+  // Instances that are stopping, this one included, still hold slots.
   std::vector<instance_id> holders = peers_.peers_up();
   std::erase_if(holders, [&](const instance_id& id) {
     const instance_info* info = view_.Find(id);
@@ -100,7 +101,7 @@
   });
   holders.push_back(self_.instance);
   home_side_.SetMembership(view_, holders);
-  ShareWithoutHome();
+  SetShareWithoutHome();
   instance_id chosen = ChooseHome(self_.failure_domain.str(), candidates);
   if (chosen == self_.instance)
     home_side_.Start();
--- a/src/cluster/home_selector.h
+++ b/src/cluster/home_selector.h
@@ -1,4 +1,4 @@
-// Chooses the home of the failure domain's slots and tells those concerned.
+// Choice of the home that grants the slots of a failure domain.
 
 #ifndef SRC_CLUSTER_HOME_SELECTOR_H_
 #define SRC_CLUSTER_HOME_SELECTOR_H_
@@ -13,9 +13,10 @@
 
 namespace jasminedyke {
 
-// Each instance chooses by rendezvous hashing among the entry instances that
-// it sees alive. No vote: instances that see differently choose differently
-// for a while, which costs refused starts and nothing else.
+// Chooses the home by rendezvous hashing among the entry instances that this
+// instance considers alive. There is no vote: instances that disagree about
+// which ones are alive choose different homes for a while, which only causes
+// refused starts.
 class home_selector {
  public:
   home_selector(scheduler& clock,
@@ -28,7 +29,7 @@
   void OnPeerUp(const instance_id& peer);
   void OnPeerDown(const instance_id& peer);
   void OnPeerLeaving(const instance_id& peer);
-  // This instance is stopping: it is no home from now on.
+  // Stops being home and a candidate, as this instance is stopping.
   void Leave();
 
   const instance_id& home() const { return home_; }
@@ -37,7 +38,7 @@
   std::vector<instance_id> Candidates() const;
   bool IsCandidate(const instance_info& info) const;
   void Choose();
-  void ShareWithoutHome();
+  void SetShareWithoutHome();
 
   scheduler& clock_;
   peer_identity self_;
@@ -47,9 +48,9 @@
   membership_view view_;
   instance_id home_;
   bool leaving_ = false;
-  // Peers that said that they are stopping.
+  // Peers that have announced that they are stopping.
   std::vector<instance_id> peers_leaving_;
-  // Until when a peer whose link broke still counts.
+  // The time until which a peer whose link broke remains a candidate.
   std::map<instance_id, time_point> grace_until_;
   scoped_timer grace_timer_;
 };
--- a/src/cluster/member_registry.cc
+++ b/src/cluster/member_registry.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-// While the store is away. Peers that know us keep their links meanwhile.
+// Interval between attempts while the store is unavailable. Connected peers
+// keep their links in the meantime.
 constexpr duration kRetryInterval = std::chrono::milliseconds(500);
 
 std::optional<entry_member> ParseMember(const std::string& key,
@@ -51,19 +52,19 @@
 void member_registry::Register() {
   store_.Read(kMembersTable, self_.instance.str(), [this](const auto& row) {
     if (row.ok())
-      WriteOver(row.value().version);
+      WriteRow(row.value().version);
     else if (row.error() == store_error::kNotFound)
-      WriteOver(0);
+      WriteRow(0);
     else
-      TryAgain();
+      RetryLater();
   });
 }
 
-void member_registry::WriteOver(uint64_t version) {
+void member_registry::WriteRow(uint64_t version) {
   store_.Write({{kMembersTable, self_.instance.str(), version, OwnRow()}},
                [this](const auto& result) {
                  if (!result.ok()) {
-                   TryAgain();
+                   RetryLater();
                    return;
                  }
                  row_version_ = result.value().front();
@@ -72,7 +73,7 @@
                });
 }
 
-void member_registry::TryAgain() {
+void member_registry::RetryLater() {
   if (!unregistered_)
     retry_timer_.StartAfter(kRetryInterval, [this] { Register(); });
 }
--- a/src/cluster/member_registry.h
+++ b/src/cluster/member_registry.h
@@ -1,4 +1,4 @@
-// This instance's entry in the store's table of entry instances.
+// Registration of this instance in the store's table of entry instances.
 
 #ifndef SRC_CLUSTER_MEMBER_REGISTRY_H_
 #define SRC_CLUSTER_MEMBER_REGISTRY_H_
@@ -15,10 +15,11 @@
 
 inline constexpr char kMembersTable[] = "instances";
 
-// All rows of the table that make sense.
+// Returns the members of all valid rows of the table; the others are logged.
 std::map<instance_id, entry_member> ParseMembers(const table_snapshot& table);
 
-// Writes the entry until the store has taken it, and removes it at the end.
+// Writes this instance's row, with retries until the store accepts it, and
+// removes it when the instance stops.
 class member_registry {
  public:
   member_registry(scheduler& clock,
@@ -30,12 +31,13 @@
 
  private:
   nlohmann::json OwnRow() const;
-  void WriteOver(uint64_t version);
-  void TryAgain();
+  void WriteRow(uint64_t version);
+  void RetryLater();
 
   table_service& store_;
   entry_member self_;
-  // 0 until the row is known to be ours.
+  // The version of the row that this instance wrote, 0 before the store has
+  // confirmed it.
   uint64_t row_version_ = 0;
   bool unregistered_ = false;
   scoped_timer retry_timer_;
--- a/src/cluster/remote_jobs.cc
+++ b/src/cluster/remote_jobs.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr duration kLinkWait = std::chrono::seconds(2);
+constexpr duration kLinkTimeout = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -15,12 +15,12 @@
                          const instance_id& self,
                          peer_port& peers,
                          const membership_view& membership,
-                         local_handler handle)
+                         local_handler handler)
     : clock_(clock),
       self_(self),
       peers_(peers),
       membership_(membership),
-      handle_(std::move(handle)) {}
+      local_handler_(std::move(handler)) {}
 
 void remote_jobs::Forward(const forwarded_job& request, callback done) {
   uint64_t number = ++last_number_;
@@ -28,7 +28,7 @@
   pending.request = request;
   pending.done = std::move(done);
   const instance_id& owner = request.job.owner;
-  // An earlier incarnation of this instance.
+  // Only jobs of an earlier incarnation of this instance are forwarded.
   if (owner == self_) {
     FinishLater(number, forward_error::kOwnerGone);
     return;
@@ -40,13 +40,13 @@
   const instance_info* info = membership_.Find(owner);
   bool is_entry = info && info->role == instance_role::kEntry;
   if (!is_entry) {
-    // Without a list nothing is known about who lives.
+    // Without a membership list it is unknown which instances are alive.
     FinishLater(number, membership_.known() ? forward_error::kOwnerGone
                                             : forward_error::kOwnerUnreachable);
     return;
   }
   pending.timer = std::make_unique<scoped_timer>(clock_);
-  pending.timer->StartAfter(kLinkWait, [this, number] {
+  pending.timer->StartAfter(kLinkTimeout, [this, number] {
     Finish(number, forward_error::kOwnerUnreachable);
   });
   if (auto address = socket_address::Parse(info->address))
@@ -92,15 +92,15 @@
     answer(MakeErrorReply(error));
     return;
   }
-  handle_({static_cast<job_operation>(request.operation), *job, request.team,
-           request.body},
-          answer);
+  local_handler_({static_cast<job_operation>(request.operation), *job,
+                  request.team, request.body},
+                 answer);
 }
 
 void remote_jobs::OnReply(const instance_id& peer,
                           const remote_job_reply& reply) {
   auto found = pending_.find(reply.number);
-  // A reply from anyone but the one asked is no reply.
+  // Only the owner that the request was sent to may reply to it.
   if (found == pending_.end() || found->second.request.job.owner != peer)
     return;
   Finish(reply.number, http_reply{reply.status, reply.headers, reply.body});
--- a/src/cluster/remote_jobs.h
+++ b/src/cluster/remote_jobs.h
@@ -1,5 +1,5 @@
-// Callers' requests about jobs of other entry instances, and theirs about
-// ours.
+// Forwarding of callers' requests about jobs to the entry instances that own
+// the jobs, and handling of those that other instances forward to this one.
 
 #ifndef SRC_CLUSTER_REMOTE_JOBS_H_
 #define SRC_CLUSTER_REMOTE_JOBS_H_
@@ -17,9 +17,9 @@
 
 namespace jasminedyke {
 
-// Sends each request to the owner that the job id names, over a link opened
-// for it if there is none. Only that incarnation may answer; if it is gone,
-// nobody can tell whether the job ran, and it is lost.
+// Sends each request to the owner that the job id names, and opens a link to it
+// if there is none. Only that incarnation of the owner may reply. If it has
+// ended, no instance knows whether the job ran, and the job is lost.
 class remote_jobs : public job_forwarder {
  public:
   using local_handler =
@@ -30,7 +30,7 @@
               const instance_id& self,
               peer_port& peers,
               const membership_view& membership,
-              local_handler handle);
+              local_handler handler);
 
   void Forward(const forwarded_job& request, callback done) override;
 
@@ -46,7 +46,7 @@
     forwarded_job request;
     callback done;
     bool sent = false;
-    // Until the link is there.
+    // Limits the wait for a link; null once the request is sent.
     std::unique_ptr<scoped_timer> timer;
   };
 
@@ -58,7 +58,7 @@
   instance_id self_;
   peer_port& peers_;
   const membership_view& membership_;
-  local_handler handle_;
+  local_handler local_handler_;
   std::map<uint64_t, pending_request> pending_;
   uint64_t last_number_ = 0;
 };
