--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -10,26 +10,30 @@
 
 namespace {
 
-// A link is silent for no longer than this, so its other end can tell a dead
-// peer from a quiet one within four of them.
+// Longest silence of a link with few peers. A peer that is silent for four
+// intervals is considered dead.
 constexpr duration kHeartbeatInterval = std::chrono::milliseconds(250);
-// With many peers heartbeats cost much of an instance's bytes and processor
-// time. They get as rare as still leaves two of them in the silence after which
-// a peer counts as dead.
+// With many peers, heartbeats take much of an instance's bandwidth and
+// processor time, so the interval grows with their number. The maximum leaves
+// two heartbeats within the silence after which a peer is considered dead.
 constexpr duration kHeartbeatPerPeer = std::chrono::microseconds(1500);
-constexpr duration kLongestHeartbeatInterval = std::chrono::milliseconds(450);
-// How old a job owner's knowledge of a home's room may be: a short task gets
-// room or loses it in about this time. With older knowledge owners of all
-// failure domains send too much to the same home at once.
+constexpr duration kMaxHeartbeatInterval = std::chrono::milliseconds(450);
+// Largest age of what owners of jobs know about a home's room, which is about
+// the time in which a short task takes or frees room. With older figures, the
+// owners of all failure domains send too much to the same home at once.
 constexpr duration kHomeStatusInterval = std::chrono::milliseconds(50);
-// Registrations lapse while the store can't be reached, and are back within two
-// seconds of its return if the upstream lives.
-constexpr duration kMissingTime = std::chrono::milliseconds(2500);
-// A single call that fails is no reason for others to read the whole table.
-constexpr duration kContactSlack = std::chrono::milliseconds(700);
-// Changes come from peers within milliseconds, large ones piece by piece. With
-// no piece for so long the store is asked.
-constexpr duration kLongestStall = std::chrono::seconds(1);
+// Time for which an upstream that the store no longer lists is kept.
+// Registrations lapse while the store is unreachable, and an upstream that is
+// alive registers again within two seconds after the store is back.
+constexpr duration kMissingUpstreamRetention = std::chrono::milliseconds(2500);
+// Time for which this instance still reports that it follows the operators'
+// table after the store stopped answering. Otherwise a single failed call would
+// make other instances read the whole table.
+constexpr duration kStoreContactGrace = std::chrono::milliseconds(700);
+// Time without progress of a configuration change after which this instance
+// reads it from the store. Peers send changes within milliseconds, large ones
+// in pieces.
+constexpr duration kMaxRoutingStall = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -56,8 +60,8 @@
           self,
           [this](const instance_id& id) { return IsHome(id); },
           [this](bool reads) {
-            if (on_reader_)
-              on_reader_(reads);
+            if (reader_handler_)
+              reader_handler_(reads);
           }),
       addresses_(clock),
       homes_(clock),
@@ -74,7 +78,7 @@
       [this](const instance_id& to, const run_report& report) {
         Send(to, report);
       },
-      // Later: the home's sessions are in the middle of a call.
+      // Deferred, as the home's sessions are still in the call that reports it.
       [this] {
         clock_.CallAfter(duration::zero(), [this] { election_->OnFenced(); });
       });
@@ -101,7 +105,7 @@
           [this] { OnHomeEnds(); }});
   members_ = std::make_unique<member_registry>(clock, store, self);
   home_->SetCrashHandler([this](const crash_news& news) { SendToAll(news); });
-  home_->SetDomainState(drains_.StateOf(self_.domain));
+  home_->SetDomainState(domain_drains_.StateOf(self_.domain));
   peers_.SetListener(this);
   members_->Register();
   Heartbeat();
@@ -120,50 +124,50 @@
   election_->SetMembers(members);
   addresses_.SetMembers(members);
   reader_choice_.SetMembers(members);
-  ReviewReader();
+  ReviewReaderChoice();
   peers_.SetWanted(addresses_.Wanted());
 }
 
 void run_cluster::OnHome(std::function<void(bool)> handler) {
-  on_home_ = std::move(handler);
+  home_handler_ = std::move(handler);
 }
 
 void run_cluster::OnReader(std::function<void(bool)> handler) {
-  on_reader_ = std::move(handler);
+  reader_handler_ = std::move(handler);
   if (reader_choice_.reads())
-    on_reader_(true);
+    reader_handler_(true);
 }
 
 void run_cluster::OnRoutes(std::function<void()> handler) {
-  on_routes_ = std::move(handler);
+  routes_handler_ = std::move(handler);
 }
 
 void run_cluster::SetStoreContact(bool contact) {
   if (store_contact_ && !contact)
-    store_contact_until_ = clock_.now();
+    store_contact_lost_at_ = clock_.now();
   store_contact_ = contact;
 }
 
 store_reading run_cluster::OwnReading() const {
   if (!reader_choice_.reads())
     return store_reading::kNone;
-  bool follows =
-      store_contact_ || clock_.now() - store_contact_until_ < kContactSlack;
+  bool follows = store_contact_ ||
+                 clock_.now() - store_contact_lost_at_ < kStoreContactGrace;
   return follows ? store_reading::kFollowing : store_reading::kTrying;
 }
 
 void run_cluster::OnHomeBegins(fencing_token token) {
   home_->Begin(token);
-  TellHomeStatus();
-  if (on_home_)
-    on_home_(true);
+  SendHomeStatus();
+  if (home_handler_)
+    home_handler_(true);
 }
 
 void run_cluster::OnHomeEnds() {
   home_->End();
-  TellHomeStatus();
-  if (on_home_)
-    on_home_(false);
+  SendHomeStatus();
+  if (home_handler_)
+    home_handler_(false);
 }
 
 void run_cluster::SetUpstreams(const upstream_registry& upstreams) {
@@ -180,7 +184,7 @@
   std::erase_if(own, [this](const auto& entry) {
     return !IsKnownService(entry.second.service);
   });
-  KeepMissing(&own);
+  KeepRecentlyMissing(&own);
   upstream_news news = Difference(upstreams_, own);
   upstreams_ = std::move(own);
   home_->SetUpstreams(upstreams_, true);
@@ -189,17 +193,17 @@
   SendToOwnDomain(news);
 }
 
-// A registration of a service that operators have not named is from some other
-// program: no call goes there.
+// Returns whether the configuration names the service. An upstream of another
+// service belongs to some other program and must get no calls.
 bool run_cluster::IsKnownService(const service_id& service) const {
   return !routes_.known() || routes_.services().contains(service.str());
 }
 
-// A failure domain that was cut off from the store comes back to a list without
-// most of its upstreams, whose runs go on. A home that forgot them would start
-// these tasks a second time. One that is really gone answers no call, so it
-// gets no work meanwhile.
-void run_cluster::KeepMissing(upstream_registry* listed) {
+// After a failure domain was cut off from the store, the list lacks most of its
+// upstreams for a moment, although their runs continue. A home that dropped
+// these upstreams would start the tasks a second time. An upstream that has
+// really ended answers no call, so it gets no work while it is kept.
+void run_cluster::KeepRecentlyMissing(upstream_registry* listed) {
   std::erase_if(missing_since_, [&](const auto& entry) {
     return listed->contains(entry.first);
   });
@@ -208,17 +212,16 @@
       continue;
     time_point since =
         missing_since_.try_emplace(id, clock_.now()).first->second;
-    if (clock_.now() - since < kMissingTime)
+    if (clock_.now() - since < kMissingUpstreamRetention)
       listed->emplace(id, info);
     else
       missing_since_.erase(id);
   }
 }
 
-// The home's list is followed while it lives; after its end the last one
-// counts until the store's comes.
-void run_cluster::TakeUpstreamNews(const instance_id& from,
-                                   upstream_news news) {
+// Applies the home's changes to the list of upstreams. After the home has
+// ended, its last list remains valid until the store's list arrives.
+void run_cluster::OnUpstreamNews(const instance_id& from, upstream_news news) {
   if (!IsOfOwnDomain(from) || home_->serving())
     return;
   for (upstream_info& info : news.rows)
@@ -227,7 +230,7 @@
   home_->SetUpstreams(upstreams_, false);
 }
 
-void run_cluster::TellSpeeds() {
+void run_cluster::SendSpeeds() {
   if (!home_->serving())
     return;
   speed_news news = home_->speeds().TakeNews(clock_.now());
@@ -236,9 +239,9 @@
   SendToOwnDomain(news);
 }
 
-// Late news of a home that has been replaced may contradict its successor's.
-void run_cluster::TakeSpeedNews(const instance_id& from,
-                                const speed_news& news) {
+// Ignores a home that has been replaced, as its late news may contradict those
+// of its successor.
+void run_cluster::OnSpeedNews(const instance_id& from, const speed_news& news) {
   const known_home* home = homes_.Find({self_.domain, 0});
   bool replaced = home && home->instance != from;
   if (replaced || home_->serving() || !IsOfOwnDomain(from))
@@ -275,7 +278,7 @@
   }
   OnRoutesChanged(from);
   routing_sync_.OnOwnVersion();
-  // Peers that don't read themselves have it from those that do.
+  // Peers that don't read the store learn of the version from this status.
   SendToAll(OwnStatus());
 }
 
@@ -285,23 +288,23 @@
             {"routes", routes_.size()},
             {"from", from},
             {"behind_ms", WholeMilliseconds(config_behind())}});
-  // It may name other services than the last one.
+  // The new configuration may name other services than the last one.
   if (home_->serving() && !listed_upstreams_.empty())
     UseListedUpstreams();
-  if (on_routes_)
-    on_routes_();
+  if (routes_handler_)
+    routes_handler_();
 }
 
-void run_cluster::ReviewReader() {
+void run_cluster::ReviewReaderChoice() {
   reader_choice_.Review(!routes_.known() ||
-                        routing_sync_.stalled() > kLongestStall);
+                        routing_sync_.stalled() > kMaxRoutingStall);
 }
 
-// Each instance tells its peers when something changed for it, and each link
-// when it opens; so all that can reach one that knows do, also those that
-// restart while the store is away.
+// Forwards each change to all peers, and OnPeerUp sends the latest list over
+// each new link. So the list reaches every instance that is connected to one
+// that has it, also one that restarts while the store is unavailable.
 void run_cluster::OnDrainedDomains(const drained_domains& drained) {
-  if (!drains_.UpdateIfNewer(drained))
+  if (!domain_drains_.UpdateIfNewer(drained))
     return;
   for (const failure_domain_id& domain : drained.domains)
     LogEvent(
@@ -311,23 +314,23 @@
     LogEvent(log_level::kInfo, "no_failure_domain_drained",
              {{"as_of", drained.as_of.value()}});
   homes_.SetDrained(drained.domains);
-  home_->SetDomainState(drains_.StateOf(self_.domain));
+  home_->SetDomainState(domain_drains_.StateOf(self_.domain));
   desk_->OnHomesChanged();
-  SendToAll(drains_.newest());
+  SendToAll(domain_drains_.newest());
 }
 
-void run_cluster::TakeDrainedDomains(const instance_id& from,
-                                     const drained_domains& drained) {
+void run_cluster::OnPeerDrainedDomains(const instance_id& from,
+                                       const drained_domains& drained) {
   OnDrainedDomains(drained);
-  const drained_domains& newest = drains_.newest();
-  bool is_behind =
+  const drained_domains& newest = domain_drains_.newest();
+  bool peer_is_behind =
       drained.as_of < newest.as_of && drained.domains != newest.domains;
-  if (is_behind)
+  if (peer_is_behind)
     Send(from, newest);
 }
 
-// With all failure domains drained an instance still takes jobs, to refuse them
-// at once and say why.
+// An instance is also ready if all failure domains are drained: it accepts
+// requests in order to refuse the jobs at once with the reason.
 bool run_cluster::ready() const {
   bool any_home = homes_.AllDrained() || !homes_.Ranked(self_.domain).empty();
   return !leaving_ && routes_.known() && any_home;
@@ -343,10 +346,10 @@
 void run_cluster::OnPeerUp(const peer_identity& peer) {
   election_->OnPeerUp(peer);
   home_->OnPeerUp(peer.instance);
-  // Before all that lets a peer become home: it must not start anything in a
-  // drained failure domain.
-  if (drains_.known())
-    Send(peer.instance, drains_.newest());
+  // Sent before anything that lets the peer become home, as it must not start
+  // tasks in a drained failure domain.
+  if (domain_drains_.known())
+    Send(peer.instance, domain_drains_.newest());
   crash_news crashes = home_->CrashSuspects();
   if (!crashes.empty())
     Send(peer.instance, crashes);
@@ -369,7 +372,7 @@
   homes_.OnPeerDown(peer);
   routing_sync_.OnPeerDown(peer);
   reader_choice_.OnPeerDown(peer);
-  ReviewReader();
+  ReviewReaderChoice();
 }
 
 void run_cluster::OnPeerRefused(const instance_id& peer) {
@@ -378,15 +381,15 @@
 
 void run_cluster::OnPeerMessage(const instance_id& peer,
                                 const peer_message& message) {
-  Take(peer, message);
+  Dispatch(peer, message);
 }
 
 bool run_cluster::Send(const instance_id& to, const peer_message& message) {
   if (to != self_.instance)
     return peers_.Send(to, message);
-  // Later, as over a link: neither side expects an answer within its call.
+  // Deferred as over a link, as neither side expects a reply within its call.
   clock_.CallAfter(duration::zero(),
-                   [this, message] { Take(self_.instance, message); });
+                   [this, message] { Dispatch(self_.instance, message); });
   return true;
 }
 
@@ -402,7 +405,8 @@
   }
 }
 
-void run_cluster::Take(const instance_id& from, const peer_message& message) {
+void run_cluster::Dispatch(const instance_id& from,
+                           const peer_message& message) {
   std::visit(
       overloaded{
           [&](const run_request& m) { home_->OnRequest(from, m); },
@@ -412,25 +416,25 @@
           [&](const delegated_start_result& m) {
             delegator_->OnResult(from, m);
           },
-          [&](const home_status& m) { TakeHomeStatus(from, m); },
-          [&](const upstream_news& m) { TakeUpstreamNews(from, m); },
-          [&](const drained_domains& m) { TakeDrainedDomains(from, m); },
+          [&](const home_status& m) { OnHomeStatus(from, m); },
+          [&](const upstream_news& m) { OnUpstreamNews(from, m); },
+          [&](const drained_domains& m) { OnPeerDrainedDomains(from, m); },
           [&](const crash_news& m) { home_->AddCrashNews(m); },
-          [&](const speed_news& m) { TakeSpeedNews(from, m); },
-          [&](const peer_status& m) { TakeStatus(from, m); },
-          [&](const document_request& m) { TakeRequest(from, m); },
+          [&](const speed_news& m) { OnSpeedNews(from, m); },
+          [&](const peer_status& m) { OnPeerStatus(from, m); },
+          [&](const document_request& m) { OnDocumentRequest(from, m); },
           [&](const routing_piece& m) { routing_sync_.OnPiece(from, m); },
           [&](const peer_document& m) {
             OnConfigDocument(m.json, "older_peer");
           },
-          // Of the slot strategies, which this instance does not use.
+          // Messages of the slot strategies, which this instance does not use.
           [](const auto&) {},
       },
       message);
 }
 
-void run_cluster::TakeStatus(const instance_id& from,
-                             const peer_status& status) {
+void run_cluster::OnPeerStatus(const instance_id& from,
+                               const peer_status& status) {
   if (status.leaving)
     election_->OnPeerLeaving(from);
   reader_choice_.OnStatus(
@@ -443,9 +447,10 @@
   return found == upstreams_.end() ? std::string() : found->second.address;
 }
 
-// Older releases ask for the whole document.
-void run_cluster::TakeRequest(const instance_id& from,
-                              const document_request& request) {
+// Answers with changes, or with the whole document if the request comes from an
+// older release, which sends no `have`.
+void run_cluster::OnDocumentRequest(const instance_id& from,
+                                    const document_request& request) {
   if (request.have) {
     routing_sync_.OnRequest(from, request);
     return;
@@ -458,8 +463,8 @@
                      config_text_.write(all.to)});
 }
 
-void run_cluster::TakeHomeStatus(const instance_id& from,
-                                 const home_status& status) {
+void run_cluster::OnHomeStatus(const instance_id& from,
+                               const home_status& status) {
   if (homes_.Update(from, status))
     OnHomesChanged();
 }
@@ -478,26 +483,26 @@
 }
 
 void run_cluster::Heartbeat() {
-  ReviewReader();
+  ReviewReaderChoice();
   SendToAll(OwnStatus());
-  TellSpeeds();
+  SendSpeeds();
   if (addresses_.ForgetLeft())
     peers_.SetWanted(addresses_.Wanted());
-  duration by_peers =
+  duration interval_by_peers =
       kHeartbeatPerPeer * static_cast<int64_t>(peers_.peers_up().size());
   heartbeat_timer_.StartAfter(
-      std::clamp(by_peers, kHeartbeatInterval, kLongestHeartbeatInterval),
+      std::clamp(interval_by_peers, kHeartbeatInterval, kMaxHeartbeatInterval),
       [this] { Heartbeat(); });
 }
 
-void run_cluster::TellHomeStatus() {
+void run_cluster::SendHomeStatus() {
   home_status status = home_->Status();
   status.yielding = election_->yielding();
   SendToAll(status);
-  TakeHomeStatus(self_.instance, status);
+  OnHomeStatus(self_.instance, status);
   if (home_->serving())
     home_status_timer_.StartAfter(kHomeStatusInterval,
-                                  [this] { TellHomeStatus(); });
+                                  [this] { SendHomeStatus(); });
   else
     home_status_timer_.Stop();
 }
--- a/src/cluster/run_cluster.h
+++ b/src/cluster/run_cluster.h
@@ -1,5 +1,5 @@
-// Entry instances that share the upstreams of their failure domains: members,
-// homes, and the messages between jobs' owners and homes.
+// Coordination of entry instances that share the upstreams of their failure
+// domains: membership, homes, and messages between owners of jobs and homes.
 
 #ifndef SRC_CLUSTER_RUN_CLUSTER_H_
 #define SRC_CLUSTER_RUN_CLUSTER_H_
@@ -23,21 +23,23 @@
 
 namespace jasminedyke {
 
-// The configuration as text, for the store and for peers of older releases.
+// Conversion of the configuration from and to the text form that the store and
+// peers of older releases use.
 struct config_text {
-  // Nothing if the document makes no sense. Its routes may be missing if its
-  // version is not above `known`.
+  // Returns nothing if the document is invalid. The routes may be left out if
+  // the document's version is not above `known`.
   std::function<std::optional<routing_config>(const std::string& document,
                                               config_version known)>
       parse;
   std::function<std::string(const routing_config&)> write;
 };
 
-// Whole documents that came, by where from and whether they were newer.
+// Number of whole documents received, by source and by whether they were newer
+// than the configuration in force.
 using config_document_counts = std::map<std::pair<std::string, bool>, uint64_t>;
 
-// Puts the parts together for one instance. What it decides on its own is only
-// which message goes where; a message to itself takes no link.
+// Connects the components of one entry instance, and dispatches messages
+// between them and the peers. Messages to the instance itself use no link.
 class run_cluster : public peer_listener {
  public:
   run_cluster(scheduler& clock,
@@ -49,32 +51,37 @@
               config_text config);
   ~run_cluster() override;
 
-  // Called when this instance begins or ends to be home: only then it needs to
-  // follow the upstreams' registrations itself.
+  // Sets the handler that is called with true when this instance becomes home
+  // and with false when it stops being home. Only a home needs to follow the
+  // registrations of upstreams in the store.
   void OnHome(std::function<void(bool)> handler);
 
-  // Called when this instance begins or ends to follow the operators' table
-  // itself, and at once if it does.
+  // Sets the handler that is called with true when this instance has to start
+  // reading the operators' table from the store and with false when it has to
+  // stop. Calls it at once if the instance reads the table already.
   void OnReader(std::function<void(bool)> handler);
-  // Called after each change of the routes.
+  // Sets the handler that is called after each change of the routes.
   void OnRoutes(std::function<void()> handler);
 
-  // The store answers this instance's calls for changes of the operators'
-  // table, or does not any more.
+  // Sets whether the store answers this instance's requests for changes of the
+  // operators' table.
   void SetStoreContact(bool contact);
 
-  // From the store.
+  // Sets the entry instances that are registered in the store.
   void SetMembers(const std::map<instance_id, entry_member>& members);
-  // From the store. Peers of the own failure domain are told what changed.
+  // Sets the upstreams that are registered in the store, and sends the changes
+  // to the peers of this instance's failure domain.
   void SetUpstreams(const upstream_registry& upstreams);
-  // From the store, or a peer of an older release, as `from` says in the log;
-  // older ones change nothing.
+  // Applies a document from the store or from a peer of an older release,
+  // unless a newer one is in force. `from` names the source in the log.
   void OnConfigDocument(const std::string& document, const char* from);
 
-  // From the store or a peer; older ones change nothing.
+  // Applies a list of drained failure domains from the store or a peer, unless
+  // a newer one is known.
   void OnDrainedDomains(const drained_domains& drained);
 
-  // Gives the home back and tells the peers.
+  // Announces to the peers that this instance is stopping, gives up being home
+  // and removes the instance from the store's list of members.
   void Leave();
 
   const route_table& routes() const { return routes_; }
@@ -83,17 +90,18 @@
   const run_home& home() const { return *home_; }
   const home_directory& homes() const { return homes_; }
   const upstream_registry& upstreams() const { return upstreams_; }
-  const drained_domains& drained() const { return drains_.newest(); }
+  const drained_domains& drained() const { return domain_drains_.newest(); }
   const config_document_counts& config_documents() const {
     return config_documents_;
   }
   const routing_sync_metrics& config_traffic() const {
     return routing_sync_.metrics();
   }
-  // How long a newer configuration has been known to be in force elsewhere.
+  // Time since this instance learned that a peer has a newer configuration.
   duration config_behind() const { return routing_sync_.behind(); }
   bool leaving() const { return leaving_; }
-  // Can take jobs: it has a configuration and knows a home.
+  // Whether this instance can accept jobs: it has a configuration and knows a
+  // home, and is not stopping.
   bool ready() const;
 
   void OnPeerUp(const peer_identity& peer) override;
@@ -103,36 +111,40 @@
   void OnPeerRefused(const instance_id& peer) override;
 
  private:
-  // False if there is no link.
+  // Returns false if there is no link to the instance.
   bool Send(const instance_id& to, const peer_message& message);
   void SendToAll(const peer_message& message);
   void SendToOwnDomain(const peer_message& message);
-  void Take(const instance_id& from, const peer_message& message);
-  void TakeStatus(const instance_id& from, const peer_status& status);
-  void TakeHomeStatus(const instance_id& from, const home_status& status);
+  void Dispatch(const instance_id& from, const peer_message& message);
+  void OnPeerStatus(const instance_id& from, const peer_status& status);
+  void OnHomeStatus(const instance_id& from, const home_status& status);
   std::string AddressOf(const upstream_id& id) const;
-  void TakeRequest(const instance_id& from, const document_request& request);
+  void OnDocumentRequest(const instance_id& from,
+                         const document_request& request);
   void OnRoutesChanged(const std::string& from);
-  void ReviewReader();
+  void ReviewReaderChoice();
   store_reading OwnReading() const;
-  void TakeDrainedDomains(const instance_id& from,
-                          const drained_domains& drained);
-  void TakeUpstreamNews(const instance_id& from, upstream_news news);
-  // What the home has learnt since the last time, to its possible successors.
-  void TellSpeeds();
-  void TakeSpeedNews(const instance_id& from, const speed_news& news);
+  void OnPeerDrainedDomains(const instance_id& from,
+                            const drained_domains& drained);
+  void OnUpstreamNews(const instance_id& from, upstream_news news);
+  // Sends the speeds measured since the last call to the instances that may
+  // succeed this home.
+  void SendSpeeds();
+  void OnSpeedNews(const instance_id& from, const speed_news& news);
   void OnHomeBegins(fencing_token token);
   void OnHomeEnds();
   peer_status OwnStatus() const;
   void Heartbeat();
-  void TellHomeStatus();
+  void SendHomeStatus();
   void OnHomesChanged();
   bool IsHome(const instance_id& id) const;
   bool IsOfOwnDomain(const instance_id& peer) const;
   bool IsKnownService(const service_id& service) const;
-  // Adds upstreams that were known and are missing for a short time only.
+  // Replaces the known upstreams by those listed in the store.
   void UseListedUpstreams();
-  void KeepMissing(upstream_registry* listed);
+  // Adds known upstreams that have been missing from the list for a short time
+  // only.
+  void KeepRecentlyMissing(upstream_registry* listed);
 
   scheduler& clock_;
   peer_port& peers_;
@@ -143,13 +155,14 @@
   reader_choice reader_choice_;
   config_document_counts config_documents_;
   bool store_contact_ = false;
-  // When it ended last.
-  time_point store_contact_until_;
-  domain_drains drains_;
-  // Of the own failure domain, as the store listed them last, of any service.
+  // When the store last stopped answering.
+  time_point store_contact_lost_at_;
+  domain_drains domain_drains_;
+  // The upstreams of this failure domain that the store listed last, of all
+  // services.
   upstream_registry listed_upstreams_;
   upstream_registry upstreams_;
-  // Of those that the store does not list, since when.
+  // Since when the store has not listed an upstream that is in `upstreams_`.
   std::map<upstream_id, time_point> missing_since_;
   peer_addresses addresses_;
   home_directory homes_;
@@ -159,9 +172,9 @@
   std::unique_ptr<delegated_starter> starter_;
   std::unique_ptr<home_election> election_;
   std::unique_ptr<member_registry> members_;
-  std::function<void(bool)> on_home_;
-  std::function<void(bool)> on_reader_;
-  std::function<void()> on_routes_;
+  std::function<void(bool)> home_handler_;
+  std::function<void(bool)> reader_handler_;
+  std::function<void()> routes_handler_;
   bool leaving_ = false;
   scoped_timer heartbeat_timer_;
   scoped_timer home_status_timer_;
