--- a/src/admin/run_metrics_report.cc
+++ b/src/admin/run_metrics_report.cc
@@ -100,7 +100,7 @@
   out.Gauge("drains_known_as_of", static_cast<double>(drained.as_of.value()));
   for (const failure_domain_id& domain : drained.domains)
     out.Gauge("failure_domain_drained", 1, {{"failure_domain", domain.str()}});
-  WriteDesk(out, cluster.desk());
+  WriteDesk(out, cluster.owner());
   WriteHome(out, cluster.home());
 }
 
--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -82,7 +82,7 @@
       [this] {
         clock_.CallAfter(duration::zero(), [this] { election_->OnFenced(); });
       });
-  desk_ = std::make_unique<job_owner>(
+  owner_ = std::make_unique<job_owner>(
       clock, self.domain, homes_,
       [this](const instance_id& to, const run_request& request) {
         return Send(to, request);
@@ -93,7 +93,7 @@
   starter_ = std::make_unique<delegated_starter>(
       upstreams,
       [this](const job_key& job, submission_id submission) {
-        return desk_->Spec(job, submission);
+        return owner_->Spec(job, submission);
       },
       [this](const instance_id& to, const delegated_start_result& result) {
         Send(to, result);
@@ -315,7 +315,7 @@
              {{"as_of", drained.as_of.value()}});
   homes_.SetDrained(drained.domains);
   home_->SetDomainState(domain_drains_.StateOf(self_.domain));
-  desk_->OnHomesChanged();
+  owner_->OnHomesChanged();
   SendToAll(domain_drains_.newest());
 }
 
@@ -361,14 +361,14 @@
       Send(peer.instance, home_->speeds().All());
     }
   }
-  desk_->OnPeerUp(peer.instance);
+  owner_->OnPeerUp(peer.instance);
 }
 
 void run_cluster::OnPeerDown(const instance_id& peer) {
   election_->OnPeerDown(peer);
   home_->OnPeerDown(peer);
   delegator_->OnPeerDown(peer);
-  desk_->OnPeerDown(peer);
+  owner_->OnPeerDown(peer);
   homes_.OnPeerDown(peer);
   routing_sync_.OnPeerDown(peer);
   reader_choice_.OnPeerDown(peer);
@@ -411,7 +411,7 @@
       overloaded{
           [&](const run_request& m) { home_->OnRequest(from, m); },
           [&](const run_cancel& m) { home_->OnCancel(from, m); },
-          [&](const run_report& m) { desk_->OnReport(from, m); },
+          [&](const run_report& m) { owner_->OnReport(from, m); },
           [&](const delegated_start& m) { starter_->OnStart(from, m); },
           [&](const delegated_start_result& m) {
             delegator_->OnResult(from, m);
@@ -471,7 +471,7 @@
 
 void run_cluster::OnHomesChanged() {
   election_->OnHomesChanged();
-  desk_->OnHomesChanged();
+  owner_->OnHomesChanged();
 }
 
 peer_status run_cluster::OwnStatus() const {
--- a/src/cluster/run_cluster.h
+++ b/src/cluster/run_cluster.h
@@ -85,8 +85,8 @@
   void Leave();
 
   const route_table& routes() const { return routes_; }
-  job_owner& desk() { return *desk_; }
-  const job_owner& desk() const { return *desk_; }
+  job_owner& owner() { return *owner_; }
+  const job_owner& owner() const { return *owner_; }
   const run_home& home() const { return *home_; }
   const home_directory& homes() const { return homes_; }
   const upstream_registry& upstreams() const { return upstreams_; }
@@ -168,7 +168,7 @@
   home_directory homes_;
   std::unique_ptr<start_delegator> delegator_;
   std::unique_ptr<run_home> home_;
-  std::unique_ptr<job_owner> desk_;
+  std::unique_ptr<job_owner> owner_;
   std::unique_ptr<delegated_starter> starter_;
   std::unique_ptr<home_election> election_;
   std::unique_ptr<member_registry> members_;
--- a/tests/fakes/load_day.cc
+++ b/tests/fakes/load_day.cc
@@ -238,7 +238,7 @@
   run_job job = asked.job;
   auto live = Live();
   uint64_t draw = asked.tries == 1 ? random_() : returns_random_();
-  live[draw % live.size()]->cluster->desk().Submit(
+  live[draw % live.size()]->cluster->owner().Submit(
       std::move(job), [this, asked = std::move(asked),
                        arrived = clock.now()](const run_answer& answer) {
         duration took = clock.now() - arrived;
@@ -296,7 +296,7 @@
   job.target_latency = milliseconds(60);
   job.limit = kCrasherLimit;
   auto live = Live();
-  live[random_() % live.size()]->cluster->desk().Submit(
+  live[random_() % live.size()]->cluster->owner().Submit(
       std::move(job), [this, arrived = clock.now()](const run_answer& answer) {
         bool soon = clock.now() - arrived < kCrasherLimit / 2;
         bool given_up = answer.outcome == run_outcome::kFailed ||
--- a/tests/fakes/run_nodes.cc
+++ b/tests/fakes/run_nodes.cc
@@ -184,7 +184,7 @@
   job.stretch = 1.6;
   job.target_latency = milliseconds(60);
   job.limit = limit;
-  return node.cluster->desk().Submit(
+  return node.cluster->owner().Submit(
       std::move(job), [this, &node, key](const run_answer& answer) {
         if (!node.dead)
           answers[key].push_back(answer);
--- a/tests/run_cluster/run_cluster_test.cc
+++ b/tests/run_cluster/run_cluster_test.cc
@@ -295,7 +295,7 @@
   run_node& node = d.Other(d.Home());
   submission_id submission = d.Submit(node, kJob, 6);
   d.Run(milliseconds(100));
-  node.cluster->desk().OnCallerLeft(job_key(kJob), submission);
+  node.cluster->owner().OnCallerLeft(job_key(kJob), submission);
   d.Run(milliseconds(100));
   for (auto& [id, upstream] : d.fleet.upstreams)
     CHECK(upstream->running.empty());
@@ -326,7 +326,7 @@
   submission_id submission = d.Submit(node, kJob, 1);
   d.Run(milliseconds(20));
   REQUIRE(!first);
-  node.cluster->desk().OnCallerLeft(job_key(kJob), submission);
+  node.cluster->owner().OnCallerLeft(job_key(kJob), submission);
   d.Run(milliseconds(430));
   CHECK(d.Starts(kJob) == begun);
   stops_arrive = true;
@@ -347,7 +347,7 @@
   submission_id submission = d.Submit(node, kJob, 4);
   d.Run(milliseconds(100));
   d.Kill(home);
-  node.cluster->desk().OnCallerLeft(job_key(kJob), submission);
+  node.cluster->owner().OnCallerLeft(job_key(kJob), submission);
   d.Run(milliseconds(2000));
   REQUIRE(d.Homes().size() == 1);
   for (auto& [id, upstream] : d.fleet.upstreams) {
@@ -720,7 +720,7 @@
   d.Submit(*d.by_row, kJob, 3, std::chrono::seconds(20));
   d.Run(milliseconds(200));
   CHECK(d.Starts(kJob) == 3);
-  d.by_row->cluster->desk().OnCallerLeft(job_key("other"), other);
+  d.by_row->cluster->owner().OnCallerLeft(job_key("other"), other);
   d.by_row->tables.cut = true;
   auto token_of = [](run_node* node) {
     return node->cluster->home().Status().token;
