--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -128,7 +128,7 @@
   peers_.SetWanted(addresses_.Wanted());
 }
 
-void run_cluster::OnHome(std::function<void(bool)> handler) {
+void run_cluster::SetHomeHandler(std::function<void(bool)> handler) {
   home_handler_ = std::move(handler);
 }
 
--- a/src/cluster/run_cluster.h
+++ b/src/cluster/run_cluster.h
@@ -54,7 +54,7 @@
   // Sets the handler that is called with true when this instance becomes home
   // and with false when it stops being home. Only a home needs to follow the
   // registrations of upstreams in the store.
-  void OnHome(std::function<void(bool)> handler);
+  void SetHomeHandler(std::function<void(bool)> handler);
 
   // Sets the handler that is called with true when this instance has to start
   // reading the operators' table from the store and with false when it has to
