--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -132,7 +132,7 @@
   home_handler_ = std::move(handler);
 }
 
-void run_cluster::OnReader(std::function<void(bool)> handler) {
+void run_cluster::SetReaderHandler(std::function<void(bool)> handler) {
   reader_handler_ = std::move(handler);
   if (reader_choice_.reads())
     reader_handler_(true);
--- a/src/cluster/run_cluster.h
+++ b/src/cluster/run_cluster.h
@@ -59,7 +59,7 @@
   // Sets the handler that is called with true when this instance has to start
   // reading the operators' table from the store and with false when it has to
   // stop. Calls it at once if the instance reads the table already.
-  void OnReader(std::function<void(bool)> handler);
+  void SetReaderHandler(std::function<void(bool)> handler);
   // Sets the handler that is called after each change of the routes.
   void OnRoutes(std::function<void()> handler);
 
