--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -138,7 +138,7 @@
     reader_handler_(true);
 }
 
-void run_cluster::OnRoutes(std::function<void()> handler) {
+void run_cluster::SetRoutesHandler(std::function<void()> handler) {
   routes_handler_ = std::move(handler);
 }
 
--- a/src/cluster/run_cluster.h
+++ b/src/cluster/run_cluster.h
@@ -61,7 +61,7 @@
   // stop. Calls it at once if the instance reads the table already.
   void SetReaderHandler(std::function<void(bool)> handler);
   // Sets the handler that is called after each change of the routes.
-  void OnRoutes(std::function<void()> handler);
+  void SetRoutesHandler(std::function<void()> handler);
 
   // Sets whether the store answers this instance's requests for changes of the
   // operators' table.
