--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -142,17 +142,17 @@
   routes_handler_ = std::move(handler);
 }
 
-void run_cluster::SetStoreContact(bool contact) {
-  if (store_contact_ && !contact)
-    store_contact_lost_at_ = clock_.now();
-  store_contact_ = contact;
+void run_cluster::SetStoreReachable(bool reachable) {
+  if (store_reachable_ && !reachable)
+    store_unreachable_since_ = clock_.now();
+  store_reachable_ = reachable;
 }
 
 store_reading run_cluster::OwnReading() const {
   if (!reader_choice_.reads())
     return store_reading::kNone;
-  bool follows = store_contact_ ||
-                 clock_.now() - store_contact_lost_at_ < kStoreContactGrace;
+  bool follows = store_reachable_ ||
+                 clock_.now() - store_unreachable_since_ < kStoreContactGrace;
   return follows ? store_reading::kFollowing : store_reading::kTrying;
 }
 
--- a/src/cluster/run_cluster.h
+++ b/src/cluster/run_cluster.h
@@ -65,7 +65,7 @@
 
   // Sets whether the store answers this instance's requests for changes of the
   // operators' table.
-  void SetStoreContact(bool contact);
+  void SetStoreReachable(bool reachable);
 
   // Sets the entry instances that are registered in the store.
   void SetMembers(const std::map<instance_id, entry_member>& members);
@@ -154,9 +154,9 @@
   routing_sync routing_sync_;
   reader_choice reader_choice_;
   config_document_counts config_documents_;
-  bool store_contact_ = false;
+  bool store_reachable_ = false;
   // When the store last stopped answering.
-  time_point store_contact_lost_at_;
+  time_point store_unreachable_since_;
   domain_drains domain_drains_;
   // The upstreams of this failure domain that the store listed last, of all
   // services.
