--- a/src/cluster/run_cluster.cc
+++ b/src/cluster/run_cluster.cc
@@ -43,11 +43,11 @@
                          upstream_port& upstreams,
                          const entry_member& self,
                          const run_home::settings& home,
-                         config_text config)
+                         config_codec config)
     : clock_(clock),
       peers_(peers),
       self_(self),
-      config_text_(std::move(config)),
+      config_codec_(std::move(config)),
       routing_sync_(
           clock,
           peers,
@@ -261,7 +261,7 @@
 
 void run_cluster::OnConfigDocument(const std::string& document,
                                    const char* from) {
-  auto config = config_text_.parse(document, routes_.version());
+  auto config = config_codec_.parse(document, routes_.version());
   if (!config) {
     LogEvent(log_level::kError, "configuration_malformed",
              {{"bytes", document.size()}, {"from", from}});
@@ -460,7 +460,7 @@
   routing_update all = routes_.ChangesSince(config_version());
   Send(from,
        peer_document{document_kind::kConfiguration, routes_.version().value(),
-                     config_text_.write(all.to)});
+                     config_codec_.write(all.to)});
 }
 
 void run_cluster::OnHomeStatus(const instance_id& from,
--- a/src/cluster/run_cluster.h
+++ b/src/cluster/run_cluster.h
@@ -25,7 +25,7 @@
 
 // Conversion of the configuration from and to the text form that the store and
 // peers of older releases use.
-struct config_text {
+struct config_codec {
   // Returns nothing if the document is invalid. The routes may be left out if
   // the document's version is not above `known`.
   std::function<std::optional<routing_config>(const std::string& document,
@@ -48,7 +48,7 @@
               upstream_port& upstreams,
               const entry_member& self,
               const run_home::settings& home,
-              config_text config);
+              config_codec config);
   ~run_cluster() override;
 
   // Sets the handler that is called with true when this instance becomes home
@@ -149,7 +149,7 @@
   scheduler& clock_;
   peer_port& peers_;
   entry_member self_;
-  config_text config_text_;
+  config_codec config_codec_;
   route_table routes_;
   routing_sync routing_sync_;
   reader_choice reader_choice_;
--- a/tests/fakes/run_nodes.cc
+++ b/tests/fakes/run_nodes.cc
@@ -74,7 +74,7 @@
           upstreams,
           member,
           home,
-          config_text{ParseDocument, WriteRoutingConfig})) {}
+          config_codec{ParseDocument, WriteRoutingConfig})) {}
 
 run_nodes::run_nodes() = default;
 run_nodes::~run_nodes() = default;
