--- a/tests/home_election/home_election_test.cc
+++ b/tests/home_election/home_election_test.cc
@@ -1,4 +1,4 @@
-// Which instance becomes home while the store can't be reached.
+// Tests of the election of a home while the store is unreachable.
 
 #include <string>
 #include <vector>
@@ -14,14 +14,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Longer than a home waits for the store before it gives a call up.
+// Longer than the time after which a home gives up a call to the store.
 constexpr duration kSilentStore = seconds(1);
 constexpr duration kRunTime = milliseconds(50);
 
-// One failure domain whose first instance is the strongest and home.
-class dark_domain : public run_nodes {
+// One failure domain of three instances, the first of which is the strongest
+// and is home.
+class silent_store_domain : public run_nodes {
  public:
-  dark_domain() {
+  silent_store_domain() {
     fake_upstream& upstream = fleet.Add("u1", "north");
     upstream.plan = [](const task_name&) {
       return std::pair(kRunTime, run_end::kDone);
@@ -48,9 +49,10 @@
 }  // namespace
 
 TEST_CASE("a home lost in the dark that restarts as the strongest candidate") {
-  // Nobody became home until the store was back: the others waited for one that
-  // knew neither token nor upstreams.
-  dark_domain d;
+  // Guards against a domain without a home until the store is back: the other
+  // instances waited for the restarted one, which knew neither the token nor
+  // the upstreams.
+  silent_store_domain d;
   CHECK(d.ServedNow("before"));
   d.SilenceStore();
   d.Kill(*d.Find("north-1"), true);
@@ -62,8 +64,8 @@
 }
 
 TEST_CASE("a home lost in the dark is replaced before calls time out") {
-  // The successor waited for a second call that nobody answered.
-  dark_domain d;
+  // Guards against a successor that waits for a second store call to time out.
+  silent_store_domain d;
   d.SilenceStore();
   d.Kill(*d.Find("north-1"), true);
   d.Run(milliseconds(1700));
@@ -71,8 +73,8 @@
 }
 
 TEST_CASE("the two strongest instances are lost in the dark") {
-  // Both are back before the store is, and neither knows the last home.
-  dark_domain d;
+  // Both restart before the store is back, and neither knows the last home.
+  silent_store_domain d;
   d.Add("north", 4, 1.9);
   d.Add("north", 5);
   d.Run(seconds(1));
@@ -88,50 +90,52 @@
 }
 
 TEST_CASE("two claimants behind a cut and when it heals") {
-  // Both restarted there, met only the home that is lost then, and have no list
-  // of members. Callers whose answer broke come again through the other one.
-  dark_domain d;
+  // Both instances restarted while the store was silent, have had a link only
+  // to the home, which then loses power, and have no list of members. A caller
+  // that got no answer retries through the other instance.
+  silent_store_domain d;
   d.SilenceStore();
   d.linked_from_start = false;
   run_node& home = *d.Find("north-1");
-  std::vector<run_node*> claimants;
+  std::vector<run_node*> candidates;
   for (int number : {2, 3}) {
     d.Kill(*d.Find("north-" + std::to_string(number)), true);
-    claimants.push_back(&d.Add("north", number));
-    d.Heal(home, *claimants.back());
+    candidates.push_back(&d.Add("north", number));
+    d.Heal(home, *candidates.back());
     d.Run(milliseconds(400));
   }
-  for (run_node* node : claimants)
+  for (run_node* node : candidates)
     node->cluster->SetMembers({{node->self.instance, node->self}});
   d.Kill(home, true);
   bool both_began[2] = {false, false};
   for (int i = 0; i < 60; ++i) {
     std::string key = "job" + std::to_string(i);
-    d.Submit(*claimants[i % 2], key, 2);
+    d.Submit(*candidates[i % 2], key, 2);
     std::string earlier = "job" + std::to_string(i - 14);
     if (i >= 14 && (d.answers[earlier].empty() ||
                     d.answers[earlier][0].outcome != run_outcome::kSucceeded))
-      d.Submit(*claimants[(i + 1) % 2], earlier, 2);
+      d.Submit(*candidates[(i + 1) % 2], earlier, 2);
     d.Run(milliseconds(100));
     for (int n : {0, 1}) {
-      both_began[n] = both_began[n] || claimants[n]->cluster->home().serving();
+      both_began[n] = both_began[n] || candidates[n]->cluster->home().serving();
     }
   }
   CHECK(both_began[0]);
   CHECK(both_began[1]);
   d.store.outage = false;
   d.store.delay = milliseconds(3);
-  d.Heal(*claimants[0], *claimants[1]);
+  d.Heal(*candidates[0], *candidates[1]);
   d.Run(seconds(3));
-  CHECK(claimants[0]->cluster->home().serving() !=
-        claimants[1]->cluster->home().serving());
+  CHECK(candidates[0]->cluster->home().serving() !=
+        candidates[1]->cluster->home().serving());
   CHECK(d.ServedNow("after"));
   CHECK_FALSE(d.ran_twice);
 }
 
 TEST_CASE("a home that is fenced while it waits for a silent store") {
-  // It went on beside its successor until the call timed out.
-  dark_domain d;
+  // Guards against a home that keeps serving beside its successor until its
+  // store call times out.
+  silent_store_domain d;
   d.SilenceStore();
   run_node& cut = *d.Find("north-1");
   d.Cut(cut, *d.Find("north-2"));
@@ -151,8 +155,9 @@
 }
 
 TEST_CASE("a home that is heard of while the silent store is asked") {
-  // An instance that had just started took the upstreams from a living home.
-  dark_domain d;
+  // Guards against an instance that has just started and takes the upstreams
+  // from a home that is alive, whose status arrives during the store call.
+  silent_store_domain d;
   d.SilenceStore();
   d.linked_from_start = false;
   run_node& late = d.Add("north", 4, 3);
@@ -165,9 +170,9 @@
 }
 
 TEST_CASE("two homes that begin in the dark never start a task twice") {
-  // A candidate that restarted learns of the home from its peers and does not
-  // begin beside it once the store is back.
-  dark_domain d;
+  // A restarted candidate learns of the home from its peers, and so does not
+  // become home as well when the store is back.
+  silent_store_domain d;
   d.SilenceStore();
   d.Kill(*d.Find("north-1"), true);
   d.Run(milliseconds(700));
--- a/tests/run_cluster/run_cluster_test.cc
+++ b/tests/run_cluster/run_cluster_test.cc
@@ -1,5 +1,5 @@
-// Whole instances together: homes that die, hand over or are cut off, and jobs
-// that come again through another instance.
+// Tests of several complete instances: homes that end, hand over or are cut
+// off, and jobs that callers submit again through another instance.
 
 #include <random>
 #include <string>
@@ -58,7 +58,7 @@
     throw std::runtime_error("no other instance lives");
   }
 
-  // `kJob` has its one answer, which is that all was done.
+  // Checks that `kJob` was answered exactly once, as succeeded.
   void CheckSucceeded() {
     REQUIRE(answers[kJob].size() == 1);
     CHECK(answers[kJob][0].outcome == run_outcome::kSucceeded);
@@ -74,23 +74,23 @@
   }
 };
 
-// Of a link that a single specification overloads, so owners send all starts
-// but the first job's.
+// Settings of a home whose link is overloaded by a single specification, so
+// that owners send the starts of all jobs but the first.
 run_home::settings ThinLink() {
   run_home::settings home;
   home.link_bytes_per_second = 1;
   return home;
 }
 
-// Upstreams crash and are back under their ids at once; some registrations tell
-// of it only some steps later.
-struct rebirths_at_random {
+// Restarts random upstreams under their ids. Some registrations show the new
+// incarnation only some steps later.
+struct random_rebirths {
   void Begin() {
     for (auto& [id, upstream] : d.fleet.upstreams) {
       upstream->birth = upstream_birth(++last);
       d.fleet.registry.at(id).birth = upstream->birth;
     }
-    Tell();
+    PublishRegistry();
   }
 
   void Step(std::mt19937_64& random) {
@@ -100,11 +100,12 @@
       if (random() % 3 != 0)
         d.fleet.registry.at(id).birth = upstream->birth;
     }
-    Tell();
+    PublishRegistry();
   }
 
-  // The store's table has changed.
-  void Tell() {
+  // Sends the registered upstreams to all instances, as the store does after a
+  // change of its table.
+  void PublishRegistry() {
     if (d.store.outage)
       return;
     for (run_node* node : d.Live())
@@ -115,10 +116,11 @@
   uint64_t last = 1'700'000'000'000;
 };
 
-// Instances die and come back, links break and heal, the store goes and
-// comes, calls to upstreams are lost, delayed or unanswered; callers come
-// back 1.3 s after a broken answer. Whatever the order, no task has two runs
-// at one time, and what was refused as not run did not run.
+// Checks under random faults that no task has two runs at the same time, and
+// that a job that was refused as not run did not run. Instances end and
+// restart, links break and heal, the store fails and recovers, and calls to
+// upstreams are lost, delayed or unanswered. Callers without an answer retry
+// after 1.3 s or later.
 void PlayRandomFaults(uint64_t seed,
                       const run_home::settings& home,
                       bool rebirths = false) {
@@ -128,9 +130,9 @@
   };
   auto pick = [&](size_t n) { return random() % n; };
   one_domain d(milliseconds(120), home);
-  double trouble = 0;
+  double fault_probability = 0;
   d.fleet.fate = [&](const upstream_id&, const std::string&) {
-    if (!chance(trouble))
+    if (!chance(fault_probability))
       return call_fate::kAnswered;
     constexpr call_fate kFates[] = {call_fate::kRequestLost,
                                     call_fate::kReplyLost, call_fate::kDelayed};
@@ -140,23 +142,23 @@
     time_point at;
     std::string key;
   };
-  std::vector<resend> again;
+  std::vector<resend> resends;
   std::vector<run_node*> dead;
-  rebirths_at_random reborn{d};
+  random_rebirths reborn{d};
   if (rebirths)
     reborn.Begin();
   int jobs = 0;
   for (int step = 0; step < 120; ++step) {
     auto live = d.Live();
-    trouble = step % 40 < 20 ? 0.05 : 0;
+    fault_probability = step % 40 < 20 ? 0.05 : 0;
     if (!live.empty()) {
       std::string key = "job" + std::to_string(jobs++);
       run_node& node = *live[pick(live.size())];
       d.Submit(node, key, 1 + pick(4));
-      again.push_back({d.clock.now() + milliseconds(1300 + pick(1500)), key});
+      resends.push_back({d.clock.now() + milliseconds(1300 + pick(1500)), key});
     }
-    // A caller whose connection broke comes again through any instance.
-    for (auto it = again.begin(); it != again.end();) {
+    // A caller whose connection broke retries through a random instance.
+    for (auto it = resends.begin(); it != resends.end();) {
       if (it->at > d.clock.now() || live.empty()) {
         ++it;
         continue;
@@ -164,7 +166,7 @@
       bool answered = !d.answers[it->key].empty();
       if (!answered && chance(0.7))
         d.Submit(*live[pick(live.size())], it->key, 4);
-      it = again.erase(it);
+      it = resends.erase(it);
     }
     if (chance(0.04) && live.size() > 1) {
       run_node* victim = live[pick(live.size())];
@@ -196,7 +198,7 @@
     bool all_refused = std::ranges::all_of(answers, [](const auto& a) {
       return a.outcome == run_outcome::kNotRun;
     });
-    // An attempt that broke off says nothing about what ran.
+    // An attempt without an answer does not show whether anything ran.
     bool all_answered = answers.size() == d.submissions[key];
     CAPTURE(key);
     if (all_answered && all_refused)
@@ -219,9 +221,9 @@
 }
 
 TEST_CASE("the home's process dies while tasks run") {
-  // The caller is with another instance. The home is killed amid its tasks; a
-  // successor takes the row over, finds the runs, and the caller's instance
-  // claims them. They end once, and the caller gets its answer.
+  // The caller uses another instance. A successor takes over the row of the
+  // killed home and finds the runs, and the job's owner claims them. Each task
+  // runs once, and the caller gets its answer.
   one_domain d(milliseconds(300));
   run_node& home = d.Home();
   d.Submit(d.Other(home), kJob, 6);
@@ -235,12 +237,14 @@
 }
 
 TEST_CASE("the home hands over while tasks run") {
-  // A planned stop: the home goes on until its successor has the upstreams.
+  // After a planned stop the home keeps serving until its successor has the
+  // upstreams.
   one_domain d(milliseconds(300));
   run_node& home = d.Home();
   SUBCASE("with the store answering") {}
   SUBCASE("while its renewal is on the way") {
-    // The release must be written over the renewal, not lose against it.
+    // The release must follow the renewal, rather than fail by a conflict with
+    // it.
     d.store.delay = milliseconds(150);
   }
   d.Submit(home, kJob, 6);
@@ -255,8 +259,8 @@
 }
 
 TEST_CASE("a caller's instance dies and the job comes again elsewhere") {
-  // The job's owner is killed. The home stops the runs within a moment, so
-  // that a caller who comes back after a second finds nothing running.
+  // When the job's owner is killed, the home stops the runs soon enough that a
+  // caller that retries after a second finds none of them.
   one_domain d(milliseconds(5000));
   run_node& home = d.Home();
   run_node& owner = d.Other(home);
@@ -274,8 +278,9 @@
 }
 
 TEST_CASE("a job comes again while its first runs live") {
-  // The caller's connection broke without a sign, so it came back through
-  // another instance. The runs go on for the new owner; none starts twice.
+  // The caller's connection broke unnoticed by the owner, and the caller
+  // retries through another instance. The runs continue for the new owner, and
+  // no task starts twice.
   one_domain d(milliseconds(400));
   run_node& home = d.Home();
   run_node& first = d.Other(home);
@@ -303,9 +308,9 @@
 }
 
 TEST_CASE("a caller leaves while a start is on its way") {
-  // The upstream carries the order out late, when the job has been cancelled
-  // and the order to stop it was answered or lost. What began nobody waits for:
-  // it must not go on.
+  // The upstream starts the task late, after the job was cancelled and the
+  // request to stop the run was answered or lost. Nothing waits for this run,
+  // so it must be stopped.
   one_domain d(milliseconds(5000));
   d.fleet.late = milliseconds(400);
   run_node& node = d.Other(d.Home());
@@ -339,8 +344,8 @@
 }
 
 TEST_CASE("a caller leaves and the home is gone before it can stop the runs") {
-  // The instance that started the task is removed for good. Its successor finds
-  // runs that no job claims and must stop them, rather than prolong them.
+  // The instance that started the task never returns. Its successor finds runs
+  // that no job claims, and must stop them rather than extend their leases.
   one_domain d(milliseconds(60'000));
   run_node& home = d.Home();
   run_node& node = d.Other(home);
@@ -357,8 +362,8 @@
 }
 
 TEST_CASE("an upstream of a service that operators have not named") {
-  // Another program registered it. A caller's task must not go there, nor any
-  // other call.
+  // Another program has registered the upstream, so it must get no tasks and no
+  // other calls.
   one_domain d;
   d.Home().cluster->OnConfigDocument("parts", "store");
   fake_upstream& stranger = d.fleet.Add("stranger", "north");
@@ -377,8 +382,8 @@
 }
 
 TEST_CASE("the home dies while the store is away") {
-  // Nobody can take the row. After a while the first candidate goes on with
-  // the next token; when the store is back, it takes the row too.
+  // No instance can write the row. After a wait the first candidate begins with
+  // the next token, and takes the row over when the store is back.
   one_domain d;
   d.store.outage = true;
   d.Kill(d.Home());
@@ -393,11 +398,11 @@
 }
 
 TEST_CASE("a home loses power while the store is out of reach") {
-  // Its process is not known to be gone: its links only fall silent, and the
-  // rest of its domain can't read the row. Each moment without a home, all of
-  // the domain's upstreams stand idle, and callers are served by the others, if
-  // these have room.
-  // Here the links break at once; a second of silence comes before that.
+  // The home's process is not known to have ended: its links only become
+  // silent, and the other instances of its domain can't read the row. Until
+  // there is a new home, the domain's upstreams are idle, and jobs can only run
+  // in other domains with free room. The test breaks the links at once; in
+  // operation a second of silence comes first.
   one_domain d;
   d.store.outage = true;
   d.Kill(d.Home(), true);
@@ -409,27 +414,28 @@
 }
 
 TEST_CASE("an instance that is cut off does not take the upstreams") {
-  // It sees nobody, but the home's row is renewed: the home lives.
+  // The instance has no links, but the renewed row shows that the home is
+  // alive.
   one_domain d;
   run_node& home = d.Home();
-  run_node& lonely = d.Other(home);
+  run_node& cut_off = d.Other(home);
   for (run_node* node : d.Live()) {
-    if (node != &lonely)
-      d.Cut(lonely, *node);
+    if (node != &cut_off)
+      d.Cut(cut_off, *node);
   }
   SUBCASE("with the store in reach") {}
   SUBCASE("and from the store too") {
-    lonely.tables.cut = true;
+    cut_off.tables.cut = true;
   }
   d.Run(milliseconds(6000));
-  CHECK(!lonely.cluster->home().serving());
+  CHECK(!cut_off.cluster->home().serving());
   CHECK(home.cluster->home().serving());
 }
 
 TEST_CASE("an upstream that hangs is noticed by its runs") {
-  // Its health answers are good and it starts whatever it is told to, but
-  // nothing ends. The run is stopped and begins again elsewhere in time; the
-  // next jobs don't touch that upstream.
+  // The upstream passes health checks and accepts all starts, but no run ends.
+  // The run is stopped and started elsewhere before the deadline, and the next
+  // jobs avoid that upstream.
   one_domain d;
   fake_upstream& hanging = *d.fleet.upstreams.begin()->second;
   hanging.plan = [](const task_name&) {
@@ -448,8 +454,9 @@
 }
 
 TEST_CASE("an upstream that fails everything does not draw the work") {
-  // It is free at once after each failure, so best fit alone would feed it job
-  // after job. After two jobs' failures it gets a trial now and then only.
+  // The upstream is free at once after each failure, so best fit alone would
+  // send it every job. After failures of two jobs it gets occasional trials
+  // only.
   one_domain d;
   fake_upstream& failing = *d.fleet.upstreams.begin()->second;
   failing.plan = [](const task_name&) {
@@ -470,8 +477,8 @@
 }
 
 TEST_CASE("a poisoned job does not discredit upstreams") {
-  // All tasks of one job fail wherever they run. It is answered as failed, and
-  // the upstreams that it touched go on taking work.
+  // All tasks of one job fail on every upstream. The job is answered as failed,
+  // and the upstreams that ran its tasks keep getting work.
   one_domain d;
   for (auto& [id, upstream] : d.fleet.upstreams) {
     upstream->plan = [](const task_name& task) {
@@ -491,9 +498,10 @@
 }
 
 TEST_CASE("a home that does not know all upstreams yet") {
-  // The successor has just started; its list of upstreams is not whole.
-  // The job's tasks run on upstreams that it has not heard of. It must not
-  // start them elsewhere before it has the whole list or their leases are over.
+  // The successor has just started and has an incomplete list of upstreams. The
+  // job's tasks run on upstreams that are not in it. The successor must not
+  // start them elsewhere before it has the complete list or their leases have
+  // expired.
   one_domain d(milliseconds(900));
   run_node& home = d.Home();
   run_node& owner = d.Other(home);
@@ -517,10 +525,10 @@
 }
 
 TEST_CASE("registrations that lapsed while the store was away") {
-  // The failure domain was cut off from the store. When it is back, the store
-  // lists only some upstreams; the others register again a moment later. The
-  // home changes just then. Tasks on the upstreams that are missing must not
-  // start elsewhere.
+  // After the failure domain was cut off from the store, the store lists only
+  // some upstreams, and the others register again a moment later. If the home
+  // changes in between, tasks on the missing upstreams must not start
+  // elsewhere.
   one_domain d(milliseconds(900));
   run_node& home = d.Home();
   run_node& owner = d.Other(home);
@@ -529,7 +537,7 @@
   upstream_registry part;
   part.insert(*d.fleet.registry.rbegin());
   d.Kill(home);
-  // The upstreams with the runs don't answer the new home at first.
+  // At first the upstreams with runs don't answer the new home.
   d.fleet.fate = [&](const upstream_id& id, const std::string&) {
     bool runs = !d.fleet.upstreams.at(id)->running.empty();
     return runs ? call_fate::kRequestLost : call_fate::kAnswered;
@@ -546,10 +554,10 @@
 }
 
 TEST_CASE("an upstream that crashes and returns under its id") {
-  // Its tasks start elsewhere at once, before the lease that they had is over,
-  // and the home's other instances learn of the incarnation.
+  // Its tasks start elsewhere at once, before their leases expire, and the
+  // other instances of the domain learn the new incarnation.
   one_domain d(milliseconds(300));
-  rebirths_at_random reborn{d};
+  random_rebirths reborn{d};
   reborn.Begin();
   d.Run(milliseconds(200));
   d.Submit(d.Home(), kJob, 4);
@@ -564,20 +572,20 @@
   }
   REQUIRE(busy);
   upstream_birth next(++reborn.last);
-  SUBCASE("which a hold tells first") {
+  SUBCASE("which the reply to a hold shows first") {
     busy->Rebirth(next);
   }
-  SUBCASE("which its registration tells first") {
+  SUBCASE("which its registration shows first") {
     busy->Rebirth(next);
     d.fleet.registry.at(id).birth = next;
-    reborn.Tell();
+    reborn.PublishRegistry();
   }
   d.Run(milliseconds(450));
   d.CheckSucceeded();
   CHECK(!d.ran_twice);
   CHECK(d.Starts(kJob) > 4);
   d.fleet.registry.at(id).birth = next;
-  reborn.Tell();
+  reborn.PublishRegistry();
   d.Run(milliseconds(300));
   for (run_node* node : d.Live())
     CHECK(node->cluster->upstreams().at(id).birth == next);
@@ -596,9 +604,9 @@
 }
 
 TEST_CASE("a job's owner claims its runs too late") {
-  // The owner's link to the new home comes up only after the time for claims.
-  // The home is stopping the runs; their tasks must not start elsewhere before
-  // they have ended.
+  // The owner's link to the new home comes up after the time for claims, when
+  // the home is already stopping the runs. Their tasks must not start elsewhere
+  // before the runs have ended.
   one_domain d(milliseconds(900));
   run_node& home = d.Home();
   run_node& owner = d.Other(home);
@@ -614,7 +622,8 @@
   owner.tables.cut = true;
   d.Run(milliseconds(200));
   REQUIRE(next->cluster->home().serving());
-  // The stops are lost, so the runs live on under what lease they have.
+  // The requests to stop are lost, so the runs continue until their leases
+  // expire.
   d.fleet.fate = [&](const upstream_id& id, const std::string&) {
     bool runs = !d.fleet.upstreams.at(id)->running.empty();
     return runs ? call_fate::kRequestLost : call_fate::kAnswered;
@@ -626,8 +635,8 @@
 }
 
 TEST_CASE("a weak home yields to a strong instance") {
-  // The strong one was away when the home was chosen. Once it has been back
-  // for a while the group is handed to it, and nothing is lost on the way.
+  // The strong instance starts after the election. Once it has been connected
+  // for a while, the group is handed over to it without the loss of a run.
   one_domain d(milliseconds(300));
   run_node& strong = d.Add("north", 9, 4);
   d.Run(milliseconds(2400));
@@ -640,7 +649,7 @@
 }
 
 TEST_CASE("a refusal that says not run is true") {
-  // No upstream has room for it; the caller is told so, and nothing starts.
+  // No upstream has room for the job, so it is refused and nothing starts.
   one_domain d(milliseconds(5000));
   run_node& node = d.Other(d.Home());
   d.Submit(node, "blocker", 12);
@@ -653,9 +662,9 @@
   CHECK(d.Starts(kJob) == 0);
 }
 
-// A home of a failure domain that is cut off from the store, `storeless`, and
-// an instance that restarts behind the cut and takes the row when the store is
-// back, `by_row`; the two don't know of each other.
+// Two homes of one failure domain that have no link to each other: `storeless`
+// began while the store was unavailable, and `by_row` restarted and took the
+// row over when the store was back.
 struct two_homes : one_domain {
   explicit two_homes(duration run_time, bool planned_stop = false)
       : one_domain(run_time) {
@@ -691,9 +700,9 @@
 };
 
 TEST_CASE("a home that was replaced does not take the row from the living") {
-  // The upstreams refuse its orders as too old. It once saw that the row's
-  // holder was gone, or heard that it was leaving; but that was the holder's
-  // earlier process, and the row names the present one.
+  // The upstreams reject the replaced home's token as too old. It knows that
+  // the row's holder has ended or was leaving, but that was an earlier process
+  // of the holder, and the row names the current one.
   bool planned_stop = false;
   SUBCASE("whose earlier process was killed") {}
   SUBCASE("whose earlier process left") {
@@ -708,13 +717,14 @@
 }
 
 TEST_CASE("a home that was replaced and comes back") {
-  // Its replacement starts tasks, then is cut off from the store and lets the
-  // row expire. The first one takes over again: what it knows of its upstreams
-  // is from before, so it has to look at all of them anew. The job's owner
-  // hears of it and asks it for tasks that still run.
+  // The replacement starts tasks, is then cut off from the store, and its row
+  // expires. The first home takes over again with outdated knowledge of its
+  // upstreams, so it has to query all of them. The job's owner learns of the
+  // change and requests tasks from it that are still running.
   two_homes d(milliseconds(6000));
   REQUIRE(d.by_row->cluster->home().serving());
-  // So that the job is not where the first home would place it.
+  // Occupies upstreams, so that the job runs on others than those on which the
+  // first home would place it.
   submission_id other = d.Submit(*d.by_row, "other", 3);
   d.Run(milliseconds(100));
   d.Submit(*d.by_row, kJob, 3, std::chrono::seconds(20));
@@ -736,8 +746,8 @@
 }
 
 TEST_CASE("a home that was fenced starts nothing on other upstreams") {
-  // A newer home has taken its runs over and has not heard of a new upstream
-  // yet, so nothing there refuses the fenced home's orders.
+  // A newer home has adopted the runs, but does not know a new upstream yet, so
+  // that upstream would still accept the fenced home's requests.
   one_domain d(milliseconds(6000));
   run_node& first = d.Home();
   d.store.outage = true;
@@ -771,9 +781,9 @@
 }
 
 TEST_CASE("two homes without the store have tokens of their own") {
-  // Behind a cut all instances of a domain restart in turn, so none of them has
-  // the list of members; two that are not linked both become home. Upstreams
-  // must be able to tell their orders apart, or they would serve both.
+  // All instances of a domain that is cut off restart in turn, so none of them
+  // has the list of members, and two without a link to each other both become
+  // home. With equal tokens, upstreams would serve both.
   one_domain d;
   std::vector<run_node*> live = d.Live();
   std::vector<fencing_token> tokens;
@@ -793,9 +803,9 @@
 }
 
 TEST_CASE("all instances lose power and start again") {
-  // Callers go on sending all the while. Nobody is left who knew the home; the
-  // row names a process that has ended, which its own restart shows. So the
-  // row is taken at once and does not have to expire.
+  // No instance is left that knew the home. The restart of the row's holder
+  // shows that the process which the row names has ended, so the row is taken
+  // over at once and does not have to expire.
   one_domain d;
   std::vector<run_node*> all = d.Live();
   for (run_node* node : all)
@@ -811,9 +821,10 @@
 }
 
 TEST_CASE("an instance that restarts out of the store's reach") {
-  // It stops as planned and takes itself off the list. A cut keeps it from
-  // entering itself again. Its peers still look for it at its address, so it
-  // serves in its failure domain; one that stays away is forgotten.
+  // The instance removes its registration at a planned stop, and can't register
+  // again as it is cut off from the store. Its peers keep connecting to its
+  // address, so that it can serve its failure domain, and drop the address if
+  // it does not come back.
   one_domain d;
   run_node& gone = *d.Live()[0];
   run_node& other = *d.Live()[1];
@@ -852,9 +863,9 @@
 }
 
 TEST_CASE("a home on a thin link has jobs' owners send the starts") {
-  // Specifications fill the home's link, and the answers of all its upstreams
-  // come too late. So the jobs' owners, who have the specifications, send the
-  // starts under the home's token, and the home does the rest.
+  // Specifications would fill the home's link and delay the replies of all its
+  // upstreams. So the owners of jobs, which have the specifications, send the
+  // starts with the home's token, and the home does everything else.
   one_domain d(milliseconds(50), ThinLink());
   run_node& home = d.Home();
   run_node& owner = d.Other(home);
@@ -886,16 +897,17 @@
 }
 
 TEST_CASE("a job's owner is gone before it has sent the starts") {
-  // The home has asked for starts that never leave. Whether they did can't be
-  // known there, so its upstreams' room stays taken until their time limit has
-  // passed, and then other jobs run in it.
+  // The home has requested starts that the owner never sends. The home can't
+  // know this, so it keeps the upstreams' room reserved until the time limit of
+  // the starts has passed, and then runs other jobs there.
   one_domain d(milliseconds(50), ThinLink());
   run_node& home = d.Home();
   run_node& owner = d.Other(home);
   d.Submit(owner, "first", 2);
   d.Run(milliseconds(300));
   d.Submit(owner, kJob, 8);
-  // The request takes a millisecond, the order to the owner another one.
+  // The request to the home takes a millisecond, and the request for starts to
+  // the owner another one.
   d.Run(milliseconds(1));
   d.Kill(owner);
   d.Run(milliseconds(1200));
--- a/tests/run_cluster/speed_news_test.cc
+++ b/tests/run_cluster/speed_news_test.cc
@@ -1,4 +1,5 @@
-// Speeds of upstreams between the instances of a failure domain.
+// Tests of the exchange of upstreams' speeds between the instances of a failure
+// domain.
 
 #include <string>
 
@@ -30,15 +31,15 @@
     }
     throw std::runtime_error("no instance is home");
   }
-  // One that is neither home nor `besides`.
-  run_node& Other(const run_node* besides = nullptr) {
+  // Returns an instance that is neither home nor `excluded`.
+  run_node& Other(const run_node* excluded = nullptr) {
     for (run_node* node : Live()) {
-      if (!node->cluster->home().serving() && node != besides)
+      if (!node->cluster->home().serving() && node != excluded)
         return *node;
     }
     throw std::runtime_error("no other instance lives");
   }
-  void Tell(run_node& from, run_node& to, double speed) {
+  void SendSpeed(run_node& from, run_node& to, double speed) {
     from.peers.Send(to.self.instance,
                     speed_news{{{kUpstream, upstream_birth(), speed}}});
     Run(milliseconds(10));
@@ -54,14 +55,14 @@
   three_instances nodes;
   run_node& third = nodes.Other();
   run_node& replaced = nodes.Other(&third);
-  nodes.Tell(replaced, third, 0.5);
+  nodes.SendSpeed(replaced, third, 0.5);
   CHECK(nodes.SpeedAt(third) == 1);
-  SUBCASE("nor does the home itself believe them") {
-    nodes.Tell(replaced, nodes.Home(), 0.5);
+  SUBCASE("the home itself ignores them too") {
+    nodes.SendSpeed(replaced, nodes.Home(), 0.5);
     CHECK(nodes.SpeedAt(nodes.Home()) == 1);
   }
-  SUBCASE("the home's are taken") {
-    nodes.Tell(nodes.Home(), third, 0.5);
+  SUBCASE("those of the home are applied") {
+    nodes.SendSpeed(nodes.Home(), third, 0.5);
     CHECK(nodes.SpeedAt(third) == doctest::Approx(0.5));
   }
 }
@@ -70,12 +71,12 @@
   three_instances nodes;
   for (run_node* node : nodes.Live()) {
     if (node != &nodes.Home())
-      nodes.Tell(nodes.Home(), *node, 0.5);
+      nodes.SendSpeed(nodes.Home(), *node, 0.5);
   }
   nodes.Kill(nodes.Home());
   nodes.Run(seconds(3));
   CHECK(nodes.SpeedAt(nodes.Home()) == doctest::Approx(0.5));
-  SUBCASE("and tells an instance whose link opens later") {
+  SUBCASE("and sends them to an instance whose link opens later") {
     run_node& late = nodes.Add("north", 4, 0.5);
     nodes.Run(milliseconds(100));
     CHECK(nodes.SpeedAt(late) == doctest::Approx(0.5));
--- a/tests/run_cluster/upstream_news_test.cc
+++ b/tests/run_cluster/upstream_news_test.cc
@@ -1,4 +1,5 @@
-// What instances of a failure domain make of their homes' lists of upstreams.
+// Tests of how the instances of a failure domain apply their home's list of
+// upstreams.
 
 #include <string>
 
@@ -12,8 +13,8 @@
 
 using std::chrono::milliseconds;
 
-// An instance with a home and four upstreams, and a peer that claims to be the
-// next home.
+// A failure domain of two instances and four upstreams, in which the stronger
+// instance north-1 is home.
 struct news_fixture : run_nodes {
   news_fixture() {
     for (int i = 0; i < 4; ++i)
@@ -23,15 +24,16 @@
     Run(milliseconds(1500));
   }
 
-  void Tell(const peer_message& message) {
+  void SendFromHome(const peer_message& message) {
     Find("north-2")->cluster->OnPeerMessage(instance_id("north-1"), message);
   }
 };
 
 }  // namespace
 
-// Guards against a successor that starts tasks again which run on upstreams
-// that a home with lapsed registrations had not heard of.
+// Guards against a successor that starts tasks a second time because it has
+// dropped the upstreams on which they run: a home that began after
+// registrations had lapsed sent a list without them.
 TEST_CASE("a home's list of upstreams is short as registrations lapsed") {
   news_fixture d;
   REQUIRE(d.Find("north-2")->cluster->upstreams().size() == 4);
@@ -39,7 +41,7 @@
   upstream_news news;
   news.full = true;
   news.rows = {d.fleet.registry.begin()->second};
-  d.Tell(news);
+  d.SendFromHome(news);
   d.Run(milliseconds(100));
   CHECK(d.Find("north-2")->cluster->upstreams().size() == 4);
 }
