--- a/src/runs/admission_estimate.h
+++ b/src/runs/admission_estimate.h
@@ -23,12 +23,13 @@
   double cores = 0;
 };
 
-// Returns the expected time until the job's last task begins.
+// Returns the expected time until the last task of a job begins that is served
+// after `load.work_ahead`.
 duration EstimateWait(const home_load& load);
 
-// Returns true if the job should be stopped now: it is expected to end so late
-// that it is likelier to time out than to be answered, so its caller gains more
-// by retrying than by waiting.
+// Returns true if the job should be stopped now: if its longest task begins
+// after `wait`, the job is expected to end after its `useful_until` or its
+// `limit`, so its caller gains more by retrying than by waiting.
 bool IsHopeless(const scheduling_criteria& criteria,
                 duration wait,
                 time_point now);
--- a/src/runs/answer_times.h
+++ b/src/runs/answer_times.h
@@ -11,8 +11,8 @@
 // hung or disconnected hardly changes it. If all answers are late, the home's
 // own link or processor is overloaded, and reacting to late answers (asking
 // again, stopping and restarting runs) only adds to the load. With a fixed
-// timeout, a home whose link was two thirds full collapsed and did not recover:
-// 7 % of its callers were served.
+// timeout, a home whose link is two thirds full collapses and does not recover:
+// 7 % of its callers are served.
 //
 // The estimate is the one of TCP's retransmission timer (RFC 6298): exponential
 // moving averages of the time and of its absolute deviation.
@@ -24,11 +24,12 @@
   // Returns the time after which an answer is likely lost: at least `minimum`,
   // up to a fixed limit.
   duration Timeout(duration minimum) const;
-  // Returns the total delay of messages when a task is started and its end is
-  // reported.
+  // Returns the mean time of one round trip to an upstream. Messages delay a
+  // task by this time in total: one way when the task is started, and one way
+  // when its end is reported.
   duration Delay() const { return mean_; }
-  // Returns true if answers are late on average, which means that the home's
-  // own link or processor is overloaded.
+  // Returns true if the mean answer time exceeds 40 ms, which means that the
+  // home's own link or processor is overloaded.
   bool AllLate() const;
 
  private:
--- a/src/runs/home_directory.cc
+++ b/src/runs/home_directory.cc
@@ -11,16 +11,17 @@
 // of its messages and for the traffic between domains, which is charged.
 constexpr duration kOtherDomainPenalty = std::chrono::milliseconds(10);
 
-// Share of the free capacity that tasks can use, because of fragmentation:
-// tasks of 14 cores leave 4 cores of 32 unused.
+// Share of the free capacity that tasks can use. Fragmentation makes the rest
+// unusable: tasks of 14 cores leave 4 cores of 32 unused.
 constexpr double kUsableShare = 0.8;
-// Assumed run time of the tasks that a job waits for. Tasks of the users'
-// queues take from 60 ms to 900 ms, most of them 200 ms.
+// Assumed run time of the tasks that a job waits for. Most tasks of the users'
+// queues take 200 ms; the range is from 60 ms to 900 ms.
 constexpr duration kTypicalRunTime = std::chrono::milliseconds(200);
 
-// Age at which a status is outdated. Homes send their status every 50 ms; one
-// that missed four is slow, suspended or has crashed, which its link shows only
-// after a second. Until then new jobs are better sent elsewhere.
+// Age at which a status is outdated. Homes send their status every 50 ms. A
+// home that missed four is slow, suspended or has crashed, but the link to the
+// home shows this only after a second. Until then new jobs are better sent
+// elsewhere.
 constexpr duration kOutdatedAfter = std::chrono::milliseconds(200);
 
 double UsableMillis(const home_status& status) {
@@ -114,9 +115,10 @@
   domains_ = domains;
 }
 
-// This compares domains and not the known homes: after a power failure, the
-// home of a drained domain may be the first to return, and callers would be
-// refused for seconds although the other homes serve 0.1 s later.
+// This function compares all domains and not only those with a known home.
+// After a power failure, the home of a drained domain may be the first to
+// return; if only known homes counted, callers would be refused for seconds
+// although the other homes serve 0.1 s later.
 bool home_directory::AllDrained() const {
   return !domains_.empty() && std::ranges::includes(drained_, domains_);
 }
--- a/src/runs/home_job.cc
+++ b/src/runs/home_job.cc
@@ -72,7 +72,8 @@
       finished);
 }
 
-// A task without an estimate of its run time counts as waiting work, too.
+// A task without an estimate of its run time counts as waiting work, too, as
+// only jobs with waiting work are dispatched.
 double home_job::QueuedWork() const {
   double work = 0;
   for (const auto& [position, task] : tasks) {
--- a/src/runs/home_job.h
+++ b/src/runs/home_job.h
@@ -19,7 +19,9 @@
   // May have been started by an earlier home, so it waits until all upstreams
   // are settled.
   kMaybeStarted,
-  kOrdered,  // on an upstream: starting, running or being stopped
+  // Assigned to an upstream by a start request ("order") or by adoption of a
+  // run: starting, running or being stopped.
+  kOrdered,
   kDone,
 };
 
@@ -33,15 +35,17 @@
   task_demand demand;
   task_phase phase = task_phase::kQueued;
   time_point queued_at;
-  // When the task was first ordered, whether or not that order was carried out.
+  // When the task was first assigned to an upstream, whether or not the start
+  // request was carried out.
   time_point first_ordered_at;
   // The highest run number used so far; 0 if there has been no run.
   uint64_t last_run = 0;
   std::vector<failed_run> failures;
-  // The number of orders that upstreams refused as malformed.
+  // The number of start requests that upstreams refused as malformed.
   int rejections = 0;
   // These three are valid only in phase `kOrdered`.
   upstream_id upstream;
+  // When the start of the current run was requested or the run was adopted.
   time_point ordered_at;
   bool stopping = false;
   // Valid only in phase `kDone`.
@@ -61,7 +65,8 @@
 };
 
 // The ratio of a task's run time, scaled to an upstream of usual speed, to the
-// caller's estimate or, without one, to the usual run time in its queue.
+// caller's estimate or, without one, to the usual run time in its queue. A
+// higher pace is slower.
 struct task_pace {
   double pace = 0;
   upstream_id upstream;
@@ -73,6 +78,7 @@
   run_request request;
   time_point objective;
   time_point useful_until;
+  // The caller stops waiting at this time.
   time_point limit;
   std::map<task_position, home_task> tasks;
   // The paces of a bounded number of finished tasks, sorted in ascending order.
@@ -81,14 +87,15 @@
   bool may_have_run = false;
   // Ends of tasks that have not been reported to the owner yet.
   std::vector<task_report> unreported;
-  // The owner was asked to send a start and did not. It sends the job again or
-  // cancels it.
+  // The owner was asked to send a start request to an upstream and did not send
+  // it. The home starts no task of the job until the owner sends the job again;
+  // the owner does so or cancels the job.
   bool owner_gone = false;
   // Nobody waits for the job any more. It is erased once its last run has
   // ended.
   bool cancelled = false;
 
-  // True if the task has ended and the owner has not been told yet.
+  // True if the task has ended and this has not been reported to the owner yet.
   bool IsUnreported(const home_task& task) const;
   // True if no task has begun and none has been ordered from an upstream.
   bool HasNotStarted() const;
--- a/src/runs/home_reports.h
+++ b/src/runs/home_reports.h
@@ -35,8 +35,8 @@
   // Logs the lost upstreams because of which the task is not started again.
   void LogHeld(const task_name& task,
                const std::vector<task_loss>& losses) const;
-  // Tells the owner that this home does not serve the job, and logs it with
-  // the home's fencing token.
+  // Sends the owner a report that this home does not serve the job, and logs
+  // the refusal with the home's fencing token.
   void Refuse(const home_job& job,
               run_refusal reason,
               duration retry_after,
--- a/src/runs/home_room.cc
+++ b/src/runs/home_room.cc
@@ -46,7 +46,8 @@
   return std::max(kMinRetryAfter, start - now);
 }
 
-// Less urgent work that was refused is served later by as much.
+// Less urgent work that was refused is served later by the time that `work`
+// takes at the spare rate of the less urgent priority.
 void home_room::Reserve(int priority, time_point start, double work) {
   reserved_until_[priority] =
       start + FromSeconds(work / rate_.SpareRateFor(priority));
--- a/src/runs/home_room.h
+++ b/src/runs/home_room.h
@@ -23,9 +23,11 @@
   double cores = 0;
 };
 
-// Jobs that are refused at the same time are told to retry one after the other,
-// as capacity becomes free for their work. For this, virtual finishing times of
-// the refused work are kept, as in weighted fair queueing.
+// Estimates the waits at a home and reserves future capacity for refused jobs.
+// Jobs that are refused at the same time get different retry times, one after
+// the other, as capacity becomes free for their work. For this, the object
+// keeps virtual finishing times of the refused work, as in weighted fair
+// queueing.
 class home_room {
  public:
   void Update(time_point now, const capacity_snapshot& snapshot);
@@ -33,11 +35,11 @@
   // Returns how long a job that arrives now waits until the work that is served
   // before it has begun.
   duration ExpectedWait(int priority) const;
-  // Returns the delay after which a job that is refused now should be retried:
-  // when capacity is expected for it, after the jobs that were refused before
-  // it, and limited to a horizon. Only the first home that refuses a job
-  // because of overload reserves capacity for it, since the job is retried only
-  // once.
+  // Reserves capacity for a job that is refused now, and returns the delay
+  // after which the job should be retried. The delay ends when capacity is
+  // expected for the job, after the jobs that were refused before it, and has
+  // an upper limit. Only the first home that refuses a job because of overload
+  // reserves capacity for it, since the job is retried only once.
   duration RetryAfter(time_point now, const waiting_job& refused);
 
  private:
--- a/src/runs/home_speeds.h
+++ b/src/runs/home_speeds.h
@@ -55,7 +55,9 @@
                  time_point now);
   // Returns the speed of an upstream; 1 is the usual speed.
   double Of(const upstream_info& info) const;
-  // Returns the speed class, which is computed whenever the speed changes.
+  // Returns the speed class of the upstream, which is computed whenever the
+  // speed changes. Speeds of one class are treated as equal; 0 is normal speed,
+  // higher is faster (see `SpeedClass` in runs/placement.h).
   int ClassOf(const upstream_info& info) const;
   // A counter that changes whenever a result of `ClassOf` may have changed.
   uint64_t changes() const { return changes_ + learned_.refreshes(); }
--- a/src/runs/job_order.h
+++ b/src/runs/job_order.h
@@ -39,10 +39,10 @@
 };
 
 // Ranks jobs by lateness, then by the priority of their queue, then by the
-// least remaining work. Comparing work before priority starves urgent jobs of
-// eight short tasks behind a stream of new jobs of two tasks: at 105 % load,
-// 0.55 of them met their objective, compared with 0.85 in this order
-// (tests/run_load).
+// least remaining work. Comparing work before priority would starve urgent jobs
+// of eight short tasks behind a stream of new jobs of two tasks: at 105 % load,
+// 0.55 of the urgent jobs would meet their objective, compared with 0.85 in
+// this order.
 job_rank RankJob(const scheduling_criteria& criteria, time_point now);
 
 }  // namespace jasminedyke
--- a/src/runs/room_rate.cc
+++ b/src/runs/room_rate.cc
@@ -11,8 +11,9 @@
 // Lower bound of the share. Jobs may wait for particular upstreams while all
 // others are idle, and then few tasks end although capacity is free.
 constexpr double kMinShare = room_rate::kUsableShare / 4;
-// Fraction of the rate that is at least available to any priority: some of
-// its jobs are placed between the more urgent ones.
+// Lower bound of the fraction of the rate that is available to a priority, even
+// if other jobs use all of the rate: some jobs of the priority are placed
+// between the more urgent ones.
 constexpr double kMinAvailable = 0.1;
 
 // Longer intervals are skipped: the instance was not home or was suspended, so
--- a/src/runs/room_rate.h
+++ b/src/runs/room_rate.h
@@ -28,16 +28,21 @@
   std::map<int, double> all_;
 };
 
-// Estimates the rate as a share of the upstreams' cores, so that it follows at
-// once when upstreams are lost or added. The share is the core-seconds of tasks
-// that ended over the core-seconds that upstreams offered, measured only while
-// work waits. Finished and waiting work are both counted by callers' estimates,
-// whose common error cancels out. The weight of a measurement halves with each
-// `kHalfLife` during which work waits.
+// Estimates the rate, in core-seconds per second, at which a home's upstreams
+// complete work, and how much of it is available to each priority. The rate is
+// kept as a share of the upstreams' cores, so that it follows at once when
+// upstreams are lost or added. The share is the core-seconds of tasks that
+// ended over the core-seconds that upstreams offered, measured only while work
+// waits. Finished and waiting work are both counted by callers' estimates, so
+// that a factor by which all estimates are wrong cancels out when a wait is
+// computed from both. The weight of a measurement halves with each `kHalfLife`
+// during which work waits.
 class room_rate {
  public:
   static constexpr duration kHalfLife = std::chrono::seconds(1);
-  // Half-life of the usual share of each priority, measured at all times.
+  // Half-life of the usual share of each priority: the share of the offered
+  // core-seconds that the priority uses, measured at all times and not only
+  // while work waits.
   static constexpr duration kUsualHalfLife = std::chrono::seconds(5);
   // Assumed share until it has been measured. It is below 1 because tasks leave
   // fragments of upstreams' capacity unused.
--- a/src/runs/run_home.cc
+++ b/src/runs/run_home.cc
@@ -13,8 +13,9 @@
 // the runs must have been stopped.
 constexpr duration kOrphanGracePeriod = std::chrono::milliseconds(350);
 // How long a new home waits if its list of upstreams is not confirmed. A
-// predecessor ends as soon as it hears of its successor; its leases last for
-// another second on a clock that is 2 % slow.
+// predecessor ends as soon as it is notified of its successor, and its leases
+// last for another second on a clock that is 2 % slow. The rest is a margin for
+// the notification.
 constexpr duration kUnconfirmedWait = std::chrono::milliseconds(1500);
 constexpr duration kSweepInterval = std::chrono::milliseconds(50);
 // An answer is useful until this multiple of the job's objective, counted from
@@ -22,10 +23,11 @@
 constexpr int kUsefulObjectiveFactor = 3;
 // The share of this instance's link that specifications in starts may take
 // before owners send the starts themselves. Each specification also comes in
-// once with its job, holds need as many bytes again, and bursts must pass in
-// the little time that callers of short tasks can lose. Below this share the
-// home sends the starts, as a start by the owner costs one more message and
-// separate connections.
+// once with its job, lease-renewal requests need as many bytes as the
+// specifications, and a burst of starts must be sent within the short delay
+// that callers of short tasks can tolerate. Below this share the home sends the
+// starts, as a start by the owner costs one more message and separate
+// connections.
 constexpr double kMaxSpecShare = 0.2;
 // The share below which the home sends the starts again.
 constexpr double kResumeSpecShare = 0.1;
@@ -94,7 +96,8 @@
   if (!serving_)
     return;
   // After an outage the store's list lacks the registrations that lapsed
-  // meanwhile. Only a home that knew the upstreams before can rely on its list.
+  // meanwhile. Only a home that knew the upstreams before can rely on the
+  // store's list.
   upstreams_confirmed_ =
       upstreams_confirmed_ || (confirmed && began_with_upstreams_);
   for (const auto& [id, info] : upstreams) {
@@ -179,7 +182,8 @@
     if (job.IsUnreported(task))
       continue;
     if (task.phase == task_phase::kDone) {
-      // Only a job that was sent again after its end gets here: it runs again.
+      // Only a task whose job was sent again after the task had ended gets
+      // here, and no report of that end is pending: the task runs again.
       task.phase = task_phase::kQueued;
       task.rejections = 0;
     }
@@ -606,7 +610,6 @@
                                  clock_.now());
 }
 
-// Returns the first queued task that is held, or null.
 const home_task* run_home::HeldTask(const home_job& job) const {
   auto held = std::ranges::find_if(job.tasks, [&](const auto& entry) {
     return entry.second.phase == task_phase::kQueued &&
--- a/src/runs/run_home.h
+++ b/src/runs/run_home.h
@@ -36,10 +36,12 @@
   uint64_t started = 0;
   uint64_t done = 0;
   uint64_t failed = 0;
+  // Runs that ended because their lease expired.
   uint64_t lapsed = 0;
   uint64_t stopped = 0;
   uint64_t adopted = 0;
   stuck_runs::counts stuck;
+  // Starts on upstreams that were not in good standing.
   uint64_t trials = 0;
   // Upstreams that were lost with runs on them.
   uint64_t upstreams_lost = 0;
@@ -47,18 +49,20 @@
   // task.
   uint64_t given_up = 0;
   std::map<start_result, uint64_t> refused_starts;
-  // The time from a task's arrival until it is ordered.
+  // The time from a task's arrival until a start request for it, recorded at
+  // every start of the task.
   latency_by_queue room_wait;
-  // The time from a task's order until it is done.
+  // The time from a task's last start request until it is done.
   latency_by_queue run_time;
 };
 
 // Schedules the jobs of all entry instances on the upstreams of one group.
 //
-// A group has a single home because an upstream keeps one list of ends, which
-// any acknowledgement truncates, and one lease, which any hold prolongs. Two
-// instances holding the same upstream would lose each other's ends and keep
-// each other's orphaned runs alive.
+// A group has a single home because an upstream keeps one list of the results
+// of ended runs, which any acknowledgement truncates, and one lease, which any
+// lease-renewal request ("hold") prolongs. Two instances that send holds to the
+// same upstream would lose each other's results and keep each other's orphaned
+// runs alive.
 class run_home : public upstream_session::owner {
  public:
   using send_report = home_reports::send_report;
@@ -107,9 +111,11 @@
 
   void OnRequest(const instance_id& from, const run_request& request);
   void OnCancel(const instance_id& from, const run_cancel& cancel);
-  // The link to an entry instance broke, or the instance has a new incarnation.
+  // Keeps the jobs of an entry instance for a grace period and then cancels
+  // them. Called when the link to the instance broke or the instance has a new
+  // incarnation.
   void OnPeerDown(const instance_id& peer);
-  // There is a link to the entry instance again.
+  // Cancels the grace period, as there is a link to the entry instance again.
   void OnPeerUp(const instance_id& peer);
 
   home_status Status() const;
@@ -127,6 +133,7 @@
                   run_number run,
                   run_end how) override;
   void OnLost(upstream_session& session, const upstream_loss& loss) override;
+  // A lost upstream replies again, or is known to have crashed.
   void OnFoundAgain(upstream_session& session,
                     const upstream_loss& loss,
                     bool crashed) override;
@@ -135,6 +142,7 @@
                     const task_name& task,
                     run_number run,
                     start_result why) override;
+  // A run that an earlier home started was found on an upstream.
   void OnFound(upstream_session& session,
                const task_name& task,
                run_number run) override;
@@ -159,6 +167,8 @@
   void ScheduleDispatch();
   void Dispatch();
   std::vector<waiting_job> RankWaitingJobs();
+  // Refuses the job as busy and cancels it here; its owner sends it to another
+  // group.
   void PassToOtherGroup(home_job& job);
   void ReturnToOwner(home_job& job, run_refusal reason, duration retry_after);
   bool PlaceTasks(home_job& job);
@@ -168,6 +178,8 @@
                home_task& task,
                const resource_amount& need);
   crash_suspicion SuspicionOf(const home_job& job, const home_task& task) const;
+  // Returns the first queued task that must not be started, because upstreams
+  // were lost while they ran it, or null.
   const home_task* HeldTask(const home_job& job) const;
   void Sweep();
   void RefuseLateJobs();
@@ -197,8 +209,8 @@
   std::map<instance_id, time_point> orphaned_until_;
   run_home_metrics metrics_;
   time_point begun_at_;
-  // The list of upstreams includes those known before this home began and those
-  // that the store has listed since.
+  // True once the list of upstreams includes those known before this home began
+  // and those that the store has listed since.
   bool upstreams_confirmed_ = false;
   bool began_with_upstreams_ = false;
   bool dispatch_scheduled_ = false;
@@ -211,6 +223,7 @@
   run_times run_times_;
   home_room room_;
   stuck_runs stuck_runs_;
+  // True while owners send the starts of their jobs themselves.
   bool owners_start_ = false;
   scoped_timer dispatch_timer_;
   scoped_timer sweep_timer_;
--- a/src/runs/run_times.cc
+++ b/src/runs/run_times.cc
@@ -78,7 +78,9 @@
   if (IsKindSlow(ran_on))
     return false;
   // All tasks of a job may be long, so they count as one piece of evidence
-  // unless the job's pace is known from runs on other upstreams.
+  // unless the job's pace is known from runs on other upstreams. A name with an
+  // empty position stands for the whole job; the upstream's standing ignores a
+  // name that equals the last one it was given.
   task_name evidence{job.key, 0, {}};
   bool pace_known = job.MedianPaceExcluding(ran_on.id) > 0;
   if (pace_known)
--- a/src/runs/run_times.h
+++ b/src/runs/run_times.h
@@ -52,8 +52,8 @@
                   const home_task& task,
                   const upstream_info& ran_on,
                   duration took) const;
-  // Counts a far too slow run against its upstream. Returns true if the time of
-  // the run was as usual.
+  // Returns true if the run was normal, that is, not far too slow. Otherwise
+  // counts the run against its upstream, unless the upstream's kind is slow.
   bool AssessRun(const home_job& job,
                  const home_task& task,
                  const upstream_info& ran_on,
--- a/src/runs/start_gate.h
+++ b/src/runs/start_gate.h
@@ -20,8 +20,8 @@
 // and their callers would get no answer. Jobs that have not begun are returned
 // to their owners at once.
 //
-// A home that was not serving when it learnt of the drain grants no grace
-// period, as it can't tell how long ago the drain was ordered.
+// A home that was not serving when it was notified of the drain grants no grace
+// period, as it does not know how long ago the drain was ordered.
 class start_gate {
  public:
   explicit start_gate(duration drain_grace_period)
