--- a/src/runs/crash_record.cc
+++ b/src/runs/crash_record.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Losses after which a task is held, so that it puts no further upstream at
-// risk: of all losses, and of those under which the task is known to have
-// begun.
+// A task is held after either number of losses, so that it puts no further
+// upstream at risk. The first number counts all losses, the second only those
+// under which the task is known to have begun.
 constexpr int kLossesUntilHeld = 3;
 constexpr int kBegunLossesUntilHeld = 2;
 // Number of losses kept per task; the newest are kept.
@@ -116,7 +116,8 @@
   }
 }
 
-// Doesn't pass the news on: the sender has told all instances.
+// Does not pass the news on to other instances: the sender has told all
+// instances.
 void crash_record::TakeSuspect(const crash_suspect& suspect, time_point now) {
   auto known = entries_.find(suspect.task);
   bool has_untold = known != entries_.end() && !known->second.told;
@@ -231,7 +232,8 @@
   EraseLosses([&](const loss& each) { return is_expired(each.at); });
   std::erase_if(explained_,
                 [&](const auto& each) { return is_expired(each.second.at); });
-  // Kept as long as any loss of a task that they may show to be shared.
+  // Times of upstream losses are kept as long as any loss of a task that they
+  // may show to be shared.
   while (!upstream_losses_.empty() &&
          is_expired(upstream_losses_.front() + kSharedWindow))
     upstream_losses_.pop_front();
--- a/src/runs/crash_record.h
+++ b/src/runs/crash_record.h
@@ -40,7 +40,8 @@
 
 struct crash_news {
   std::vector<crash_suspect> suspects;
-  // Upstreams whose losses no longer count as evidence.
+  // Upstreams whose losses no longer count as evidence against tasks, since
+  // they answer again or had announced that they would stop.
   std::vector<upstream_incarnation> explained;
 
   bool empty() const { return suspects.empty() && explained.empty(); }
@@ -56,17 +57,19 @@
 // run that ends clears the task; after a second loss the task is held.
 //
 // None of this proves that the task was the cause, so no caller is told that
-// its job failed: the job is given up, and refused until the losses expire. A
-// run that is not known to have begun may be a start request that never
-// arrived; its loss holds a task only together with two others.
+// its job failed: the home returns the job to its owner without an outcome, and
+// refuses it until the losses expire. A run that is not known to have begun may
+// be a start request that never arrived; the loss of such a run holds a task
+// only together with two other losses.
 //
 // The loss of an upstream counts once, whichever instance saw it, and no longer
 // counts once it is explained: the upstream answers again, or had announced
-// that it would stop. Explanations are remembered as long as losses, or an
-// instance that was not told would bring the loss back. Upstreams that are lost
-// together (power failure, network partition, restart of many) prove nothing,
-// or all tasks of a failure domain would be suspects. A task among them that
-// does crash upstreams is detected by its next losses.
+// that it would stop. Explanations are remembered as long as losses, since an
+// instance that was not told of the explanation would otherwise bring the loss
+// back. Upstreams that are lost together (power failure, network partition,
+// restart of many) prove nothing, or all tasks of a failure domain would be
+// suspects. A task among them that does crash upstreams is detected by its next
+// losses.
 //
 // The record is bounded in size and time; a caller that submits a job again
 // does so before the losses expire.
@@ -85,7 +88,7 @@
   bool OnSuspectRunMissing(const task_name& task, time_point now);
   // Clears the task: one of its runs ended without the loss of its upstream.
   void OnRunEnded(const task_name& task);
-  // Merges news from another instance.
+  // Merges news from another instance into this record.
   void Take(const crash_news& news, time_point now);
 
   crash_suspicion SuspicionLevel(const task_name& task, time_point now) const;
@@ -93,14 +96,15 @@
   duration RemainingHoldTime(const task_name& task, time_point now) const;
   // The losses that count against the task.
   std::vector<task_loss> LossesOf(const task_name& task) const;
-  // Returns what the other instances have not been told yet. The news is sent
-  // at once, as the home may be lost next, so of upstreams that are lost
-  // together only the first few are reported.
+  // Returns the news that the other instances have not been told yet, and marks
+  // it as told. The news is sent at once, as the home may be lost next. Of
+  // upstreams that are lost together, the first few are therefore reported; the
+  // later losses are then known to be shared, and are not.
   crash_news TakeNews();
   // The full record, for an instance that has just joined.
   crash_news All(time_point now) const;
 
-  // Removes expired losses and explanations.
+  // Removes the losses and explanations that have expired at `now`.
   void Forget(time_point now);
   size_t size() const { return entries_.size(); }
 
@@ -108,15 +112,15 @@
   struct loss {
     task_loss what;
     time_point at;
-    // Reported by another instance, which found that the upstream was not lost
-    // together with many others.
+    // Whether another instance reported the loss. That instance found that the
+    // upstream was not lost together with many others.
     bool heard = false;
   };
 
   struct entry {
     // Ordered by time; bounded, never empty.
     std::vector<loss> losses;
-    // The other instances know all losses.
+    // Whether the other instances have been told all losses.
     bool told = false;
   };
 
@@ -140,8 +144,9 @@
   bool IsIsolated(const loss& each) const;
   // Judges by the losses that have not expired at `now`.
   crash_suspicion Judge(const entry& found, time_point now) const;
+  // Returns the task with those of its losses that other instances are told.
   crash_suspect Describe(const task_name& task, const entry& found) const;
-  // Whether many upstreams were lost at about this time.
+  // Whether many upstreams were lost at about the time `lost`.
   bool IsShared(time_point lost) const;
 
   std::map<task_name, entry> entries_;
--- a/src/runs/incarnation_state.cc
+++ b/src/runs/incarnation_state.cc
@@ -6,15 +6,16 @@
 
 namespace {
 
-// Replies are lost in bursts that last seconds, with less than a second between
-// two losses on a busy upstream.
+// Time after an unanswered call during which more replies are expected to be
+// lost. Losses come in bursts that last seconds, with less than a second
+// between two losses on a busy upstream.
 constexpr duration kUnansweredCallWindow = std::chrono::seconds(3);
 // An unanswered order may be executed seconds later. By then another
 // incarnation may run, on whose clock the order's time limit is far in the
 // future.
 constexpr duration kMaxOrderDelay = std::chrono::seconds(15);
 // How long after the last reply holds continue to extend the lease. An
-// unanswered hold may still arrive, and every lease that may have arrived
+// unanswered hold may still arrive, and every lease that it may have extended
 // delays the proof that nothing runs on the upstream any more.
 constexpr duration kMaxProlongWithoutReply = std::chrono::milliseconds(600);
 // Bounds of the pause before new starts after an upstream has refused
--- a/src/runs/incarnation_state.h
+++ b/src/runs/incarnation_state.h
@@ -59,13 +59,13 @@
   bool MayBeSuperseded() const {
     return last_hold_unanswered && birth != upstream_birth();
   }
-  // Determines which incarnation sent `reply` to a hold that was sent at
-  // `sent`, during this incarnation. Learns this incarnation's birth if it is
-  // unknown.
+  // Returns which incarnation sent `reply` to a hold that was sent at `sent`,
+  // during this incarnation. Learns this incarnation's birth if it is unknown.
   reply_source ClassifyReply(const upstream_id& id,
                              time_point sent,
                              const hold_reply& reply);
-  // Logs `event` with this incarnation's birth and the birth `told` to us.
+  // Logs `event` with this incarnation's birth and the birth `told`, which a
+  // reply or registration contained; empty if it contained none.
   void LogBirth(const upstream_id& id,
                 const char* event,
                 upstream_birth told) const;
@@ -78,7 +78,8 @@
   bool HasRecentUnansweredCall() const;
   bool IsLeaseExpired() const;
   // Accounts for a lease that this owner did not request for this incarnation,
-  // granted at the time `granted` on the upstream's clock or earlier.
+  // granted at the time `granted` on the upstream's clock or earlier. Assumes
+  // the longest possible lease from `granted`.
   void AddUnknownLease(upstream_time granted, const lease_limits& limits);
 
   // Removes the runs whose ends are listed for the first time. Returns these
@@ -114,13 +115,15 @@
   // to any call has arrived since it was sent.
   bool start_overdue = false;
   std::optional<time_point> last_unanswered_call;
-  // The upstream is given no new runs until then, because it refused one.
+  // The upstream is given no new runs before this time, because it refused one
+  // or a start could not be sent.
   time_point no_starts_until;
   duration backoff = duration::zero();
   upstream_clock clock;
   // Latest time, on the upstream's clock, at which any lease can end.
   upstream_time lease_end;
-  // End of the lease if this owner's last orders have arrived.
+  // End of the lease if this owner's last orders have arrived; other leases may
+  // end later, up to `lease_end`.
   upstream_time requested_lease_end;
   // Sequence number of the last end that was received.
   uint64_t acknowledged = 0;
--- a/src/runs/job_owner.cc
+++ b/src/runs/job_owner.cc
@@ -284,7 +284,8 @@
     job.sent.clear();
     bool passed = report.refusal == run_refusal::kBusy;
     (passed ? job.passed_by : job.refused_by).insert(job.group);
-    // The first home that refuses for overload reserves a place for the job.
+    // The first home that refuses the job because of overload reserves a place
+    // for it, so the caller is told to come back when that home expects room.
     if (report.refusal == run_refusal::kOverload && !job.first_room_at)
       job.first_room_at = clock_.now() + report.retry_after;
     duration retry_after = report.retry_after;
@@ -311,7 +312,7 @@
   RetryAwaitingFirstHome();
   for (auto& [key, job] : jobs_) {
     const known_home* home = homes_.Find(job.group);
-    // A home that stops loses its jobs, even if the same instance becomes home
+    // An instance that stops being home loses its jobs, even if it becomes home
     // again.
     if (!home && !job.home.empty())
       ClearHome(job);
@@ -325,9 +326,9 @@
   }
 }
 
-// Chooses homes for the jobs that wait for a first one. Refusing such jobs at
-// once turned away, after a start of all instances, half a second of callers
-// whom the homes could have served a moment later.
+// Chooses homes for the jobs that wait for a first one. If such jobs were
+// refused at once, a start of all instances would turn away the callers of half
+// a second, whom the homes could serve a moment later.
 void job_owner::RetryAwaitingFirstHome() {
   for (auto& [key, job] : jobs_) {
     if (job.awaits_first_home)
--- a/src/runs/job_owner.h
+++ b/src/runs/job_owner.h
@@ -69,7 +69,7 @@
   uint64_t left = 0;
   std::map<run_outcome, uint64_t> outcomes;
   std::map<run_refusal, uint64_t> refusals;
-  // How often a job was sent to a new home of its group.
+  // How often a job was sent again because its group had a new home.
   uint64_t moved = 0;
   // The time from acceptance to answer.
   latency_by_queue answer_time;
@@ -139,13 +139,14 @@
     std::set<home_group> passed_by;
     bool may_pass = false;
     // The number of requests sent for this job. A home that stops and becomes
-    // home again while a message is in transit may refuse an earlier request
-    // as not run after a later one has made it start the tasks.
+    // home again while a message is in transit may refuse an earlier request as
+    // not run after a later one has made it start the tasks. A refusal
+    // therefore counts only if it answers the latest request.
     uint32_t requests_sent = 0;
     // Tasks that were sent to a home, including those that are done; cleared
     // when a home refuses the job as not run.
     std::set<task_position> sent;
-    // The number of unfinished tasks of each step.
+    // The number of tasks of each step that are left to finish.
     std::vector<uint32_t> left;
     std::set<task_position> finished;
     bool maybe_started = false;
@@ -169,6 +170,8 @@
   void ClearHome(open_job& job);
   void OnRefused(open_job& job, const run_report& report);
   void Answer(const job_key& key, const run_answer& answer);
+  // Returns true if a home has free capacity for all tasks that are ready and
+  // not done.
   bool AnyHomeHasPlaces(const open_job& job) const;
   void LogAnswer(const open_job& job, const run_answer& answer) const;
   void CancelAtHome(const open_job& job);
--- a/src/runs/placement.cc
+++ b/src/runs/placement.cc
@@ -17,8 +17,9 @@
 
 // Orders candidates by speed; the smallest is best.
 struct speed_cost {
-  // 0 if the class has room to spare; 1 if it has not, but is fast enough or no
-  // class is; 2 if it is too slow and others are fast enough.
+  // 0 if the class has room to spare; 1 if it has no room to spare but is
+  // fast enough, or if no class is fast enough; 2 if it is too slow and other
+  // classes are fast enough.
   int tier = 0;
   int order = 0;
 
--- a/src/runs/placement.h
+++ b/src/runs/placement.h
@@ -42,8 +42,9 @@
   kBestFit,
   kFastest,
   // Prefers the slowest upstream that is fast enough, so that short tasks and
-  // those with slack leave fast upstreams to long ones. While classes have much
-  // free room, tasks go to the fastest of those, so that they don't sit idle.
+  // tasks with slack leave fast upstreams to long tasks. While classes have
+  // much free room, tasks go to the fastest of these classes, so that fast
+  // upstreams don't sit idle.
   kLeastSlack,
 };
 
--- a/src/runs/run_claims.h
+++ b/src/runs/run_claims.h
@@ -4,8 +4,8 @@
 // A home looks for such runs on all its upstreams as long as it serves. After a
 // takeover they belong to its predecessor, and the owners of their jobs soon
 // claim them. Runs found later come from start requests that were carried out
-// late, sent by this home or by one that is gone for good; they are stopped, so
-// that no run goes on for a job that nobody waits for.
+// late, sent by this home or by an earlier home that will not return; they are
+// stopped, so that no run goes on for a job that nobody waits for.
 
 #ifndef SRC_RUNS_RUN_CLAIMS_H_
 #define SRC_RUNS_RUN_CLAIMS_H_
@@ -25,8 +25,8 @@
   // A found run that the job of its task takes over.
   struct claimed_run {
     upstream_id upstream;
-    // The run was claimed after it had been told to stop: the task must wait
-    // for it to end.
+    // The run had been told to stop before the job claimed it: the task must
+    // wait until that run has ended.
     bool stopping = false;
   };
 
@@ -46,8 +46,8 @@
                const task_name& task,
                run_end how,
                bool has_task);
-  // Returns how the task's run ended before its job came to this home, if it
-  // did, and forgets it.
+  // If the task's run ended before its job came to this home, returns how it
+  // ended and forgets that end.
   std::optional<run_end> TakeUnclaimedEnd(const task_name& task);
   // Hands one found run of the task, if there is one, to the task's job and
   // stops the others.
--- a/src/runs/run_messages.h
+++ b/src/runs/run_messages.h
@@ -61,13 +61,15 @@
   int max_attempts = 1;
   // The queue's priority; 0 is the highest.
   int priority = 0;
-  // True if another group seems to have room for all tasks: the home then hands
-  // the job back at once if the job would have to wait there.
+  // True if another group seems to have room for all tasks. The home then hands
+  // the job back at once if it would have to wait at this home.
   bool may_pass = false;
   // True if a home that refused the job because of overload has announced when
-  // it expects to have room for it.
+  // it expects to have room for it, and has reserved that room. Another home
+  // that refuses the job then reserves none.
   bool has_place = false;
-  // The number of this request among the owner's requests for this job.
+  // The number of this request among the owner's requests for this job, from 1.
+  // A refusal of the request repeats it.
   uint32_t sending = 0;
   // The size of the specification if the owner kept it and sends the starts
   // itself; `spec` is then empty.
@@ -102,7 +104,8 @@
   kOverload,       // the job would not end within its caller's limit
   kNoUpstream,     // no upstream of this group can run the job now
   kNotHome,        // the receiver is not, or no longer, a home
-  kSuperseded,     // the job was submitted again through another instance
+  kSuperseded,     // the job continues for another submission by its caller,
+                   // which came through another instance
   kBusy,           // no room now, and the job may go to another group
   kDrained,        // operators drained the group's failure domain
   kUpstreamsLost,  // upstreams were lost repeatedly while running a task
@@ -125,8 +128,8 @@
   bool operator==(const run_report&) const = default;
 };
 
-// Sent by each home to all entry instances, periodically and when it becomes or
-// stops being the home.
+// Sent by each home to all entry instances, periodically and when it starts or
+// stops being the home of its group.
 struct home_status {
   home_group group;
   // If two instances claim the same group, the higher token wins.
@@ -136,8 +139,9 @@
   // True if the sender asks a stronger instance to take over, and serves until
   // it does.
   bool yielding = false;
-  // True if all upstreams of the group are known: every task that was sent to
-  // an earlier home is running, has ended, or will never start.
+  // True if all upstreams of the group are known: it is then known of
+  // every task that was sent to an earlier home whether the task is running,
+  // has ended, or will never start.
   bool settled = false;
   // True if owners are to keep their jobs' specifications and send the starts.
   bool owners_start = false;
--- a/src/runs/run_types.h
+++ b/src/runs/run_types.h
@@ -23,7 +23,8 @@
 using upstream_birth = number_id<struct upstream_birth_tag>;
 
 // Numbers the starts of one task, from 1. An upstream refuses a start unless
-// its number is higher than that of every run of the task that has ended there.
+// the run number is higher than that of every run of the task that has ended
+// there.
 using run_number = number_id<struct run_number_tag>;
 // Increases with each change of an upstream's owner. An upstream rejects
 // requests whose token is lower than the highest that it has seen.
@@ -95,9 +96,11 @@
   kDone,
   kFailed,   // the task or the upstream failed
   kStopped,  // stopped at the home's request
-  kLapsed,   // the lease expired
-  kBroken,   // another member of its group ended
-  kAlone,    // timed out waiting for the other members of its group
+  kLapsed,   // the lease expired, or the run was lost by a restart of the
+             // upstream or is missing from its list
+  kBroken,   // ended because another member of its group ended
+  kAlone,    // ended because it timed out waiting for the other members of
+             // its group
 };
 
 // A run that an upstream reports as running.
--- a/src/runs/start_delegation.h
+++ b/src/runs/start_delegation.h
@@ -3,8 +3,8 @@
 //
 // A start request carries the job's specification, once for each task. On a
 // slow link the home runs out of bandwidth for these bytes first: 60 start
-// requests a second of 1.7 KB each took 40 % of 2 Mbit/s, and the replies of
-// all upstreams came too late. The owner already has the specification, and one
+// requests a second of 1.7 KB each take 40 % of 2 Mbit/s, and the replies of
+// all upstreams come too late. The owner already has the specification, and one
 // home serves many owners.
 
 #ifndef SRC_RUNS_START_DELEGATION_H_
--- a/src/runs/stuck_runs.cc
+++ b/src/runs/stuck_runs.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Age at which a run is first checked: messages and sweeps take as long.
+// Age at which a run is first checked: messages and the interval between checks
+// take as long.
 constexpr duration kMinCheckedAge = std::chrono::milliseconds(30);
 // A run is overdue beyond this multiple of its usual time; its upstream is then
 // asked for progress.
@@ -16,14 +17,16 @@
 constexpr duration kOverdueUnknown = std::chrono::seconds(1);
 // An upstream answers a request for progress at once.
 constexpr duration kAnswerTime = std::chrono::milliseconds(30);
-// A listing of this age proves nothing, since progress is asked for repeatedly.
+// A listing of this age proves nothing about the run: progress is asked for
+// repeatedly, so a newer listing was due.
 constexpr duration kMaxListingAge = std::chrono::milliseconds(250);
 // A run is stuck only if it exceeds its usual time by this much, besides
 // exceeding the longest expected time.
 constexpr duration kMinStuckExcess = std::chrono::milliseconds(60);
 // Time without progress after which a run is stalled, as a share of the longest
 // time that a healthy run takes: in that time the longest healthy run advances
-// by several per cent, and even one on a very slow upstream by one per cent.
+// by several per cent, and even a run on a very slow upstream advances by one
+// per cent.
 constexpr double kStallShare = 0.1;
 constexpr duration kMinStallTime = std::chrono::milliseconds(40);
 constexpr duration kStallTimeUnknown = std::chrono::seconds(1);
@@ -83,7 +86,9 @@
   if (!run.percent || *run.percent >= kCompletePercent)
     return JudgeByElapsedTime(run);
   duration stall_time = StallTime(run);
-  // A run at 0 % has been stalled since it was first known to run.
+  // A run at 0 % has been stalled since it was first known to run. Like the
+  // other times of an observation, `stalled_since` counts from the start
+  // request.
   duration stalled_since = *run.percent == 0 ? run.began : run.reached;
   if (run.listed - stalled_since >= stall_time)
     return {run_condition::kStuck, stuck_evidence::kProgress, {}, false};
@@ -96,7 +101,8 @@
   if (run.adopted || run.listed - run.began < run.expected.usual)
     return judgement;
   judgement.condition = run_condition::kAdvancing;
-  // A lower bound, which assumes that the next per cent is about to be reached.
+  // The prediction is a lower bound, which assumes that the next per cent is
+  // about to be reached.
   judgement.predicted_length =
       run.began +
       Times(run.listed - run.began,
--- a/src/runs/stuck_runs.h
+++ b/src/runs/stuck_runs.h
@@ -30,11 +30,13 @@
 // What a home knows about a run. `began`, `reached` and `listed` count from the
 // start request.
 struct run_observation {
-  // Time since the start request, less what messages may have taken.
+  // Time since the start request, less the time by which messages may have been
+  // delayed.
   duration elapsed = duration::zero();
   // The run time that is expected on this upstream.
   run_expectation expected;
-  // Whether runs of the same job on other upstreams show how long it takes.
+  // Whether runs of the same job on other upstreams show how long this run
+  // should take.
   bool pace_known = false;
   // The run was started by an earlier home, so its start time is unknown;
   // `elapsed` counts from when it was found.
@@ -48,7 +50,8 @@
   duration listed = duration::zero();
   // Age of the last listing.
   duration since_listed = duration::zero();
-  // The upstream was asked for progress long enough ago to have answered.
+  // Whether the upstream was asked for the run's progress long enough ago to
+  // have answered.
   bool asked = false;
 };
 
@@ -100,7 +103,8 @@
         stopped_(stopped) {}
 
   // Checks all runs of the jobs. `room_wait` returns how long a restarted task
-  // would wait for room on an upstream.
+  // would wait for room on an upstream. Each stopped run is counted in the
+  // `stopped` counts by its evidence.
   void Check(home_job_map& jobs, const std::function<duration()>& room_wait);
 
  private:
--- a/src/runs/task_placer.cc
+++ b/src/runs/task_placer.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Allows for differences between a job's tasks, and for the delay until the
-// home hears that the last one ended.
+// home hears that the last task ended.
 constexpr double kRunTimeMargin = 1.1;
 // Exceeds every slowness by racks, so that a trial is made only if no good
 // upstream has room.
--- a/src/runs/task_placer.h
+++ b/src/runs/task_placer.h
@@ -72,7 +72,8 @@
   };
 
   void ListUpstreams();
-  // Returns true if the upstream is good or may get a trial task now.
+  // Returns true if the upstream is good, or is bad but idle and due for a
+  // trial task.
   bool MayTry(const available_upstream& open);
   // Returns true if the task may run outside its data's rack: it ends in time
   // there, or would be late even near its data.
@@ -81,7 +82,7 @@
   // that is later.
   time_point TargetEnd(const home_job& job) const;
   // Returns the lowest speed at which the task is done by `end`; infinite if no
-  // upstream is fast enough.
+  // upstream is fast enough or `end` has passed.
   double LeastSpeed(const home_job& job,
                     const home_task& task,
                     time_point end) const;
@@ -90,6 +91,7 @@
   bool WaitsForFaster(const home_task& task,
                       int speed_class,
                       double least_speed) const;
+  // Deducts `need` from the free capacity of `open` and of its speed class.
   void Take(available_upstream& open, const resource_amount& need);
 
   scheduler& clock_;
@@ -104,7 +106,8 @@
   std::vector<available_upstream> available_;
   // The largest free CPU amount; no task that needs more can be placed.
   int64_t largest_free_cpu_millis_ = 0;
-  // The job that was placed last since `Refresh`, and its `TargetEnd`.
+  // Cache of `TargetEnd`: the job that was placed last since `Refresh`, and its
+  // result.
   const home_job* last_job_ = nullptr;
   time_point last_job_end_;
 };
--- a/src/runs/upstream_port.h
+++ b/src/runs/upstream_port.h
@@ -51,7 +51,8 @@
   kNotAccepted,  // the order is invalid
   kNotSent,      // no byte of the order was sent
   kOwnerGone,    // the job's owner did not send the delegated order
-  kUnknown,      // may have started, or may yet start within its time limit
+  kUnknown,      // no usable reply: the run may have started, or may yet start
+                 // within its time limit
 };
 
 const char* ToString(start_result result);
@@ -65,8 +66,8 @@
 
 enum class call_result {
   kOk,
-  kFenced,
-  kGone,
+  kFenced,  // the upstream has seen a newer owner's token
+  kGone,    // another incarnation replied
   kNotSent,
   kUnknown,  // no reply, or an invalid one
 };
@@ -83,8 +84,9 @@
   duration reply_timeout = kReplyTimeout;
 };
 
-// Extends the lease of the runs on the upstream, acknowledges ends, and
-// requests the lists of running and ended runs.
+// The content of a hold call. The call extends the lease of the runs on the
+// upstream, acknowledges ends, and requests the lists of running and ended
+// runs.
 struct hold_order {
   fencing_token token;
   // The upstream removes ends up to this sequence number from its list.
--- a/src/runs/upstream_registry.h
+++ b/src/runs/upstream_registry.h
@@ -37,9 +37,11 @@
 // failure domain, so that one of them can take over while the store is
 // unavailable.
 struct upstream_news {
-  // `rows` is the whole registry and replaces the previous one.
+  // If true, `rows` is the whole registry and replaces the previous one; if
+  // false, `rows` contains the registrations that are new or have changed.
   bool full = false;
   std::vector<upstream_info> rows;
+  // Upstreams that were removed from the registry.
   std::vector<upstream_id> gone;
 
   bool empty() const { return !full && rows.empty() && gone.empty(); }
--- a/src/runs/upstream_runs.h
+++ b/src/runs/upstream_runs.h
@@ -37,22 +37,26 @@
   resource_amount need;
   run_phase phase = run_phase::kStarting;
   // Local time at which the start request was sent or, for `kRunning`, at which
-  // the run was learnt to be running. Only a hold sent after this time can
-  // prove that the run ended: a hold that waited may list a run that began long
-  // after the hold was sent.
+  // the run was learnt to be running. Only the reply to a hold sent after this
+  // time can prove, by not listing the run, that the run ended. The time at
+  // which the hold that listed the run was sent is too early: a hold that
+  // waited may list a run that began long after the hold was sent.
   time_point since;
-  // Lower bound of the upstream's clock when the start request was sent.
+  // Lower bound of the upstream's clock when the start request was sent. A
+  // reply to the request with an earlier clock is from a later incarnation.
   upstream_time ordered;
   // The upstream ignores the start request after this time.
   upstream_time not_after;
   // When the upstream confirmed that the run is stopped. The run can't begin
   // after that.
   std::optional<time_point> stop_confirmed_at;
-  // The run is known to have begun in the upstream's present incarnation.
+  // Whether the run is known to have begun in the upstream's present
+  // incarnation.
   bool seen = false;
-  // The start request was sent to an earlier incarnation of the upstream, which
-  // may have begun the run. The present incarnation may still begin it, and
-  // `not_after` can't be compared with the present incarnation's clock.
+  // The record was carried over from an earlier incarnation of the upstream:
+  // the start request was sent to that one, which may have begun the run. The
+  // present incarnation may still begin it, and `not_after` can't be compared
+  // with the present incarnation's clock.
   bool carried = false;
   bool stop_wanted = false;
   bool stop_in_flight = false;
@@ -62,6 +66,7 @@
   bool IsUnconfirmed() const {
     return phase == run_phase::kStarting || phase == run_phase::kUnanswered;
   }
+  // Records that a reply lists the run as running.
   void NoteListed(const listed_run& listed, time_point now);
   void NoteProgress(int percent, time_point now);
 };
@@ -70,9 +75,11 @@
 struct ended_run {
   task_name task;
   run_number run;
-  // No incarnation of the upstream can have carried out the start request.
+  // The run is proven never to have begun: no incarnation of the upstream can
+  // have carried out the start request. Set only by `EndedRuns`.
   bool never_began = false;
-  // The run is known to have begun.
+  // The run is known to have begun. Set only by
+  // `incarnation_state::RemoveEndedRuns`.
   bool begun = false;
 };
 
@@ -101,8 +108,9 @@
 
   bool HasFound() const;
   bool HasUnconfirmed() const;
-  // Tasks whose runs are still unconfirmed `patience` after the start request,
-  // and all unconfirmed runs carried over from an earlier incarnation.
+  // Tasks whose runs are unconfirmed at `now`, at least `patience` after the
+  // start request, and all unconfirmed runs carried over from an earlier
+  // incarnation.
   std::vector<task_name> UnconfirmedLongerThan(time_point now,
                                                duration patience) const;
   // Runs that have ended, as proven by the reply to a hold sent at `sent`.
--- a/src/runs/upstream_session.cc
+++ b/src/runs/upstream_session.cc
@@ -12,11 +12,12 @@
 // reply is lost, ends stay unknown for as long. Ends are more frequent than
 // this on busy upstreams, so a short wait costs few additional calls.
 constexpr duration kHoldWait = std::chrono::milliseconds(300);
-// The same while nothing runs: the longest wait that upstreams allow.
+// How long a hold waits at the upstream while nothing runs there. This is the
+// longest wait that upstreams allow.
 constexpr duration kIdleHoldWait = std::chrono::milliseconds(2000);
 // Pause after the last run's end, during which the next start may send the hold
-// that acknowledges it. It must stay well below the several seconds after which
-// unacknowledged ends count as lost.
+// that acknowledges that end. The pause must stay well below the several
+// seconds after which unacknowledged ends count as lost.
 constexpr duration kIdleHoldPause = std::chrono::milliseconds(1000);
 // Remaining time of a lease at which it is extended, if no hold is due before.
 constexpr duration kLeaseRenewalMargin = std::chrono::milliseconds(250);
@@ -24,7 +25,8 @@
 // the initial lease, and is long enough for most tasks to end under it.
 constexpr duration kStartTimeLimit = std::chrono::milliseconds(500);
 // Starts are usually answered within a fraction of this. A poll checks an
-// unanswered one early enough for callers of short tasks to meet their target.
+// unanswered start early enough for callers of short tasks to meet their
+// target.
 constexpr duration kStartReplyTimeout = std::chrono::milliseconds(30);
 // Interval between polls for an unanswered start, which doubles each time. A
 // poll is answered as fast as a start, but an unresponsive upstream must not be
@@ -37,8 +39,8 @@
 constexpr duration kMaxHoldRetryPause = std::chrono::milliseconds(1000);
 // Time after which an upstream that has never replied counts as settled. Until
 // then an earlier owner that can reach it may still extend its lease: that
-// owner learns of its successor from the store's row within its renewal
-// interval, and the lease expires after that.
+// owner learns of its successor from the lease row of the home in the store
+// within its renewal interval, and the lease expires after that.
 constexpr duration kSettleTimeout = std::chrono::milliseconds(2500);
 
 }  // namespace
@@ -110,8 +112,8 @@
     ScheduleStartCheck(times_.Timeout(kStartReplyTimeout));
   upstream_loss loss{{info_.id, old->birth}, true, {}};
   for (const auto& [task, record] : old->runs.all()) {
-    // A carried order is a single loss, which was reported with the incarnation
-    // that the order was sent to.
+    // A start request carried over from an earlier incarnation is counted as
+    // lost once, with the incarnation that it was sent to.
     if (!record.carried)
       loss.runs.push_back({task, record.seen});
   }
@@ -165,7 +167,8 @@
   record.not_after = order.not_after;
   incarnation_->runs.Put(task, record);
   RecordRequestedLease(order.not_after);
-  // The run's end must not wait for the next hold of an idle upstream.
+  // An idle upstream's next hold may be due only later, and the report of this
+  // run's end must not wait for it.
   if (!incarnation_->hold.in_flight && incarnation_->failed_holds == 0)
     incarnation_->hold.timer.StartAfter(
         duration::zero(), [this] { SendHold(incarnation_->hold); });
@@ -336,8 +339,8 @@
 hold_order upstream_session::MakeHoldOrder() {
   hold_order order;
   order.token = token_;
-  // The next incarnation must not remove its options expected_end because of a
-  // sequence number of this one.
+  // The next incarnation must not remove its ended runs because of a sequence
+  // number of this incarnation.
   order.acknowledged =
       incarnation_->MayBeSuperseded() ? 0 : incarnation_->acknowledged;
   order.reply_timeout = times_.Timeout(kReplyTimeout);
@@ -536,8 +539,8 @@
   }
   RecordUnansweredCall();
   incarnation_->last_hold_unanswered = true;
-  // A single lost reply does not make an upstream unusable that has replied to
-  // other calls since.
+  // If the upstream has replied to other calls since, a single lost reply does
+  // not make it unusable.
   if (incarnation_->clock.HasReadingSince(sent)) {
     ScheduleNextHold(hold, false);
     return;
--- a/src/runs/upstream_session.h
+++ b/src/runs/upstream_session.h
@@ -55,13 +55,14 @@
     // immediately if its end is proven already.
     virtual void OnLost(upstream_session& session,
                         const upstream_loss& loss) = 0;
-    // An upstream that was unreachable replies again, or is known to have
-    // crashed.
+    // The earlier loss of an unreachable upstream is resolved: the upstream
+    // replies again or, if `crashed`, is known to have crashed.
     virtual void OnFoundAgain(upstream_session& session,
                               const upstream_loss& loss,
                               bool crashed) = 0;
-    // The upstream has crashed and restarted under the same id. `OnLost`
-    // follows if runs were lost with the earlier incarnation.
+    // A later incarnation of the upstream was found: the upstream has crashed
+    // and restarted under the same id. `OnLost` follows if runs were lost with
+    // the earlier incarnation.
     virtual void OnReborn(upstream_session& session) = 0;
     // The run is proven never to have started; `why` is the reply to its start,
     // or `kUnknown`.
@@ -112,7 +113,8 @@
   // Takes over a found run as if this session had started it.
   void Adopt(const task_name& task, const resource_amount& need);
 
-  // Whether it is known what runs there, or that nothing can run any more.
+  // Whether it is known what runs on the upstream, or that nothing can run
+  // there any more.
   bool settled() const { return incarnation_->settled; }
   // Whether tasks can be started now.
   bool usable() const;
@@ -138,9 +140,11 @@
   void BeginIncarnation(upstream_birth birth);
   void SendHold(hold_call& hold);
   // Sends a hold that does not wait, in addition to the waiting one: when the
-  // lease would expire before that returns, or to check unanswered starts.
+  // lease would expire before the waiting hold returns, or to check unanswered
+  // starts.
   void SendPoll();
-  // Also records the lease that the order requests.
+  // Returns the order for the next hold, and records the lease that the order
+  // requests.
   hold_order MakeHoldOrder();
   // Returns which incarnation has replied; begins it if it is a later one.
   reply_source ResolveReplySource(time_point sent, const hold_reply& reply);
@@ -150,7 +154,9 @@
   void ScheduleNextHold(hold_call& hold, bool any_end);
   void SendSecondHold();
   void ScheduleLeasePoll();
+  // Handles the reply to a hold, whichever incarnation sent it.
   void OnHoldReply(hold_call& hold, time_point sent, const hold_reply& reply);
+  // Handles the reply to a hold that the current incarnation sent.
   void OnHoldAnswered(hold_call& hold,
                       time_point sent,
                       const hold_reply& reply);
@@ -172,7 +178,10 @@
   void UpdateSeen(run_record& record, const start_reply& reply);
   void SendStop(run_record& record, const task_name& task);
   void OnStopAnswered(run_record& record, call_result result);
+  // Counts an upstream that has never replied as settled, as it has been silent
+  // for too long.
   void SettleWithoutReply();
+  // Ends the runs if the lease has expired; otherwise checks again later.
   void CheckLapse();
   void EndRuns(run_end how);
   void AddUnreachableRuns(const upstream_loss& loss);
--- a/src/runs/upstream_standing.cc
+++ b/src/runs/upstream_standing.cc
@@ -17,8 +17,8 @@
 // one upstream are unlikely to be chance.
 constexpr int kFailuresUntilBad = 2;
 // A trial may make its job miss its objective, so the pause between trials
-// grows. It is capped because upstreams are slow or failing for seconds at a
-// time.
+// grows. The pause is capped because a phase in which an upstream is slow or
+// failing lasts only seconds.
 constexpr duration kMinTrialPause = std::chrono::milliseconds(1000);
 constexpr duration kMaxTrialPause = std::chrono::seconds(4);
 
--- a/src/runs/upstream_standing.h
+++ b/src/runs/upstream_standing.h
@@ -21,8 +21,8 @@
   // A run succeeded, in a time that is usual on upstreams of this kind.
   void OnDone();
   // The run of `task` takes far longer than usual on this upstream; `chance` is
-  // the share of runs on a healthy upstream that are as slow. Consecutive
-  // reports of the same task count once.
+  // the share, from 0 to 1, of runs on a healthy upstream that are as slow.
+  // Consecutive reports of the same task count once.
   void OnSlow(time_point now, const task_name& task, double chance);
   // A run of `job` failed. Consecutive failures of one job count once, since
   // the job may be their cause.
@@ -34,7 +34,8 @@
   bool good() const { return state_ == state::kGood; }
   // Whether several runs in a row were far slower than usual.
   bool slow() const;
-  // Whether the last run was far slower than usual.
+  // Whether any run has been far slower than usual since the last run that
+  // succeeded in a usual time.
   bool suspected_slow() const { return slowness_ > 0; }
   // Whether a trial task may be placed on a bad upstream now.
   bool MayTry(time_point now) const { return now >= next_trial_; }
