--- a/src/runs/admission_estimate.h
+++ b/src/runs/admission_estimate.h
@@ -27,7 +27,7 @@
 // after `load.work_ahead`.
 duration EstimateWait(const home_load& load);
 
-// Returns true if the job should be stopped now: if its longest task begins
+// Returns true if the job should be refused now: if its longest task begins
 // after `wait`, the job is expected to end after its `useful_until` or its
 // `limit`, so its caller gains more by retrying than by waiting.
 bool IsHopeless(const scheduling_criteria& criteria,
